--- a/lupinlink/brain/admission.py
+++ b/lupinlink/brain/admission.py
@@ -6,12 +6,25 @@
 from lupinlink.interface import Arrival, LatencyStats, Settings
 from lupinlink.limits.foresight import Foresight
 
-TARGET, LATE_TARGET = 0.45, 0.4  # D_ref: so much of the aim, and more the more a late answer is worth
-X_MAX, TARGET_ROOM, SEED_X = 0.6, 1.35, 0.35  # bound on E[X]; target over it; before a light period was seen
+BASE_TARGET_DELAY, LATE_VALUE_TARGET_DELAY = (
+    0.45,
+    0.4,
+)  # D_ref: so much of the aim, and more the more a late answer is worth
+X_MAX, TARGET_ROOM, INITIAL_SERVICE_TIME = (
+    0.6,
+    1.35,
+    0.35,
+)  # bound on E[X]; target over it; before a light period was seen
 # Of what servers get through, so much is let in at least: waiting drains, yet they never fall idle. A
-DRAIN, RISE = 0.85, 1.5  # period at ease lets in so much more: all at once would jam them again.
-FLOOR = 0.1  # the paper's lower bound of P_a; it holds for the mean over all arrivals
-THETA, THETA2_MIN = (0.8, 2.0), 0.5  # starting model; a smaller slope would turn noise into full swings
+MIN_SHARE_OF_THROUGHPUT, MAX_RECOVERY_FACTOR = (
+    0.85,
+    1.5,
+)  # period at ease lets in so much more: all at once would jam them again.
+MIN_ADMIT_PROBABILITY = 0.1  # the paper's lower bound of P_a; it holds for the mean over all arrivals
+INITIAL_THETA, THETA2_MIN = (
+    (0.8, 2.0),
+    0.5,
+)  # starting model; a smaller slope would turn noise into full swings
 P0, P_MIN, P_MAX = 1.0, 0.01, 10.0  # P = p_0 I; the estimator neither falls asleep nor blows up
 AT_EASE, TENANT_S = 0.7, 2.0  # reported use of servers with room; a flood must show before queues fill
 
@@ -20,10 +33,13 @@
     """Mean admission probability: processor-sharing predictor plus RLS correction (paper, eqs. 4, 9-11)."""
 
     def __init__(self, peers: int, late_worth: float, warm_keys: bool = False) -> None:
-        self.peers, self.admit, self.refusing = peers, 1.0, False
-        self.target = self.least_target = TARGET + LATE_TARGET * late_worth
-        self.x, self.work = SEED_X, 0.0  # E[X] in aims, and in seconds of one server (0: not yet known)
-        self.theta1, self.theta2 = THETA
+        self.peers, self.admit_probability, self.refusing = peers, 1.0, False
+        self.target = self.min_target = BASE_TARGET_DELAY + LATE_VALUE_TARGET_DELAY * late_worth
+        self.x, self.work = (
+            INITIAL_SERVICE_TIME,
+            0.0,
+        )  # E[X] in aims, and in seconds of one server (0: not yet known)
+        self.theta1, self.theta2 = INITIAL_THETA
         self.p11, self.p12, self.p22 = P0, 0.0, P0
         self.error = self.delta = self.delay = 0.0  # y(k), the applied u(k), d
         self.foresight = Foresight(warm_keys)
@@ -45,34 +61,43 @@
         self, rate: float, delay: float | None, ready: float, busy: float | None = None, through: float = 0.0
     ) -> None:
         """Close a period: arrivals a second, mean delay in aims, reported use, served share of arrivals."""
-        self.foresight.learn(busy, ready, max(through, self.admit))
+        self.foresight.learn(busy, ready, max(through, self.admit_probability))
         if rate <= 0.0 or delay is None:
-            self.admit, self.refusing, self.delta, self.error = 1.0, False, 0.0, 0.0
+            self.admit_probability, self.refusing, self.delta, self.error = 1.0, False, 0.0, 0.0
             return
         self.delay = delay
         per_server = rate * self.peers / max(1, ready)
         low = delay < self.target / 2 and not self.refusing
         light = low if busy is None else busy < AT_EASE and delay < 1.0  # no queueing in such a latency
         self.x = min(max(self.x + 0.3 * light * (delay - self.x), 0.02), X_MAX)
-        self.target = max(self.least_target, TARGET_ROOM * self.x)
+        self.target = max(self.min_target, TARGET_ROOM * self.x)
         error = delay - self.target
         if light and busy is not None:  # whatever makes the latency, it is not that servers have too much
-            self.admit = min(RISE * self.admit, max(self.foresight.bears(ready), DRAIN * through))
-            self.refusing, self.delta, self.error = self.admit < 1.0, 0.0, error
+            self.admit_probability = min(
+                MAX_RECOVERY_FACTOR * self.admit_probability,
+                max(self.foresight.bears(ready), MIN_SHARE_OF_THROUGHPUT * through),
+            )
+            self.refusing, self.delta, self.error = self.admit_probability < 1.0, 0.0, error
             return
         # The paper measures E[X] off line, for one core; here it is what makes the model give the delay seen.
         busy = min(max(1.0 - self.x / max(delay, 1e-6), 0.1), 0.98)
-        work = busy / (per_server * (through if self.refusing and through else self.admit))  # utilization law
+        work = busy / (
+            per_server * (through if self.refusing and through else self.admit_probability)
+        )  # utilization law
         self.work += (0.5 if self.work else 1.0) * (work - self.work)
         if self.refusing:
             self.learn(error)
         elif error <= 0.0:
             return
-        model = min(max((self.target - self.x) / (per_server * self.work * self.target), FLOOR), 1.0)
+        model = min(
+            max((self.target - self.x) / (per_server * self.work * self.target), MIN_ADMIT_PROBABILITY), 1.0
+        )
         delta = min(max(-self.theta1 * error / self.theta2, -1.0), 1.0)
-        self.admit = min(max(model + delta, FLOOR, DRAIN * through), 1.0)
-        self.refusing = self.admit < 1.0
-        self.error, self.delta = error, (self.admit - model) * self.refusing
+        self.admit_probability = min(
+            max(model + delta, MIN_ADMIT_PROBABILITY, MIN_SHARE_OF_THROUGHPUT * through), 1.0
+        )
+        self.refusing = self.admit_probability < 1.0
+        self.error, self.delta = error, (self.admit_probability - model) * self.refusing
 
 
 class SheddingOrder:
@@ -80,7 +105,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings, self.counts = settings, [0.0] * (2 * len(settings.classes))
-        self.admit = [1.0] * len(self.counts)
+        self.admit_probability = [1.0] * len(self.counts)
         self.tenant_rate, self.tenant_count = [0.0] * len(settings.tenants), [0] * len(settings.tenants)
 
     def bucket(self, arrival: Arrival, rng: Random) -> int:
@@ -110,6 +135,6 @@
         refuse = (1.0 - mean) * sum(self.counts)
         for i in sorted(range(len(worth)), key=worth.__getitem__):
             cut = min(refuse, self.counts[i])
-            self.admit[i] = 1.0 - cut / self.counts[i] if self.counts[i] > 0.0 else 1.0
+            self.admit_probability[i] = 1.0 - cut / self.counts[i] if self.counts[i] > 0.0 else 1.0
             refuse -= cut
             self.counts[i] *= 0.7
--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -2,13 +2,13 @@
 
 from random import Random
 
-from lupinlink.brain.dispatching import ANSWER_MARGIN_MS, Dispatching
+from lupinlink.brain.dispatching import ANSWER_MARGIN_MS, DispatchingNode
 from lupinlink.interface import Attempt, Effect, Outcome, RefusalCause, Request, Settings, Status
 
 RETRY_RATIO, RETRY_BURST = 0.2, 20.0  # tokens an arrival, their most
 
 
-class Balancer(Dispatching):
+class Balancer(DispatchingNode):
     """One node's decisions: takes events, returns actions. Clock and random source are the caller's."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -22,10 +22,10 @@
         self.period.returned += request.arrival.is_retry
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         self.probe_some()
-        if now >= self.split.due_at:
+        if now >= self.selector.due_at:
             self.look_ahead(now)
-        bucket = self.order.bucket(request.arrival, self.rng)
-        if self.admission.refusing and self.rng.random() >= self.order.admit[bucket]:
+        bucket = self.shedding_order.bucket(request.arrival, self.rng)
+        if self.admission.refusing and self.rng.random() >= self.shedding_order.admit_probability[bucket]:
             self.period.refused += 1
             return self.finish(request, RefusalCause.SHED)
         self.dispatch(request, now)
--- a/lupinlink/brain/concurrency.py
+++ b/lupinlink/brain/concurrency.py
@@ -10,15 +10,15 @@
 
 import math
 
-from lupinlink.brain.admission import SEED_X
+from lupinlink.brain.admission import INITIAL_SERVICE_TIME
 from lupinlink.interface import Request, Server
 
 FADE_MS = (
     1500.0  # neither: a report counts for 1/e of itself after so long; most of what it told is done by then
 )
 CORES_GAIN = 0.1  # of one report to the cores of its kind: none moves the limit by much
-LEAST_REPORTS = 8  # of servers that queue, before anything is limited
-LEAST_HELD = 1.0  # a server that holds less than this always has room
+MIN_REPORTS = 8  # of servers that queue, before anything is limited
+MIN_LIMIT = 1.0  # a server that holds less than this always has room
 FASTER_GAIN, SLOWER_GAIN = 0.05, 0.02  # of one answer: a server slowed by another program is not the usual
 IN_TIME = 0.9  # of the aim: the network and the spread of work take the rest
 LAST_BEGIN = 1.3  # usual times before the aim: who has not been sent by then is answered late
@@ -30,7 +30,7 @@
     def __init__(self, peers: int) -> None:
         """``peers``: nodes that send to the same servers."""
         self._peers = peers
-        self.usual_aims = SEED_X  # the time of an answer that waited for nobody, in aims
+        self.usual_aims = INITIAL_SERVICE_TIME  # the time of an answer that waited for nobody, in aims
         self.known = False  # whether any kind's limit is
 
     def report(self, server: Server, report: dict[str, float], now: float) -> None:
@@ -43,7 +43,7 @@
             group = server.group
             group.queueing += 1
             group.cores += max(CORES_GAIN, 1.0 / group.queueing) * (held - queued - group.cores)
-            self.known = self.known or group.queueing >= LEAST_REPORTS
+            self.known = self.known or group.queueing >= MIN_REPORTS
 
     def answered(self, report: dict[str, float] | None, aims: float) -> None:
         """An answer came after so many aims. One that leaves others queueing behind it has queued as well."""
@@ -57,9 +57,9 @@
 
     def limit(self, server: Server) -> float:
         """At so many held requests one more would be late; infinite where that is not known."""
-        if server.group.queueing < LEAST_REPORTS:
+        if server.group.queueing < MIN_REPORTS:
             return math.inf
-        return max(LEAST_HELD, server.group.cores * IN_TIME / self.usual_aims - 1.0)
+        return max(MIN_LIMIT, server.group.cores * IN_TIME / self.usual_aims - 1.0)
 
     def has_room(self, server: Server, now: float) -> bool:
         """Whether one more request would still be answered in time there."""
--- a/lupinlink/brain/discovery_answers.py
+++ b/lupinlink/brain/discovery_answers.py
@@ -18,9 +18,9 @@
 class PendingAnswers:
     """The calls whose answer may have been written, each with the time from which on."""
 
-    def __init__(self, hold_after_ms: float, hold_most_ms: float) -> None:
+    def __init__(self, hold_after_ms: float, max_hold_ms: float) -> None:
         """A list is relied on for ``hold_after_ms`` more, and not for ``hold_most_ms`` after that."""
-        self._hold_after_ms, self._hold_most_ms = hold_after_ms, hold_most_ms
+        self._hold_after_ms, self._hold_most_ms = hold_after_ms, max_hold_ms
         self._since: dict[int, float] = {}
 
     def asked(self, call: int, now: float) -> None:
--- a/lupinlink/brain/discovering.py
+++ b/lupinlink/brain/discovery_node.py
@@ -3,9 +3,9 @@
 import math
 from random import Random
 
-from lupinlink.brain.discovery import DiscoverySchedule
+from lupinlink.brain.discovery_schedule import DiscoverySchedule
 from lupinlink.brain.discovery_times import ENDED_TOLD_MS
-from lupinlink.brain.learning import Learning
+from lupinlink.brain.load_monitoring import LoadMonitoringNode
 from lupinlink.interface import (
     DiscoveryCallAnswered,
     DiscoveryCallFailed,
@@ -24,7 +24,7 @@
 )
 
 
-class Discovering(Learning):
+class DiscoveryNode(LoadMonitoringNode):
     """Hands each event to the schedule, makes the calls that are due and logs whether the list is trusted."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -47,7 +47,7 @@
 
     def list_news(self, event: Membership, now: float) -> None:
         """Act at once on what changed."""
-        self.split.due_at = now
+        self.selector.due_at = now
         if event.kind == MembershipKind.FAILED:
             self.discovery_news(self.ended_on_the_simulator(now), now)
         elif event.kind != MembershipKind.CACHED and event.current:
@@ -68,7 +68,7 @@
                 self.discovery.moved(now)
             case ProcessStarted():
                 self.discovery.restarted(now)
-                self.after(self.discovery.times.hold_most_ms, self.note_trust)  # though no request may come
+                self.after(self.discovery.times.max_hold_ms, self.note_trust)  # though no request may come
             case DiscoveryCallLate():
                 self.discovery.call_late(now)
             case DiscoveryCallReached():
--- a/lupinlink/brain/discovery_outage.py
+++ b/lupinlink/brain/discovery_outage.py
@@ -10,7 +10,9 @@
 
 AWAY_AFTER_MS = 1000.0  # neither: calls turned away at once for so long are no single failures any more
 AWAY_LATE_CALLS = 4  # neither: so many calls in a row whose connections are late are no single failures
-AWAY_UNSEEN_CALLS = 4  # neither: the same of calls that brought nothing, where no watch was ended before them
+OUTAGE_CALLS_NO_WATCH = (
+    4  # neither: the same of calls that brought nothing, where no watch was ended before them
+)
 
 
 class CallFailure(Enum):
@@ -32,9 +34,9 @@
 class OutageDetector:
     """Counts the failures in a row that are alike."""
 
-    def __init__(self, away_calls: int) -> None:
+    def __init__(self, outage_calls: int) -> None:
         """``away_calls``: so many calls in a row that were taken and brought nothing show an outage."""
-        self._away_calls = away_calls
+        self._away_calls = outage_calls
         self.reset()
 
     def reset(self, watch_was_ended: bool = False) -> None:
@@ -54,7 +56,7 @@
         """Whether enough calls in a row were taken and brought nothing: it is down, and not just crowded."""
         if self._failure is CallFailure.ENDED_LATE and self._watch_was_ended:
             return len(self.row) >= self._away_calls
-        return self._failure in TAKEN and len(self.row) >= max(self._away_calls, AWAY_UNSEEN_CALLS)
+        return self._failure in TAKEN and len(self.row) >= max(self._away_calls, OUTAGE_CALLS_NO_WATCH)
 
     def connected(self) -> None:
         """The connection of a call came up."""
--- a/lupinlink/brain/discovery.py
+++ b/lupinlink/brain/discovery_schedule.py
@@ -43,9 +43,9 @@
         self._partial_from = NEVER  # an object has begun that does not end: it counts as told from here on
         self._answered_at = -NEVER  # the last good head
         self._late_failures = 0  # calls that failed late since a watch stood
-        self._wait_ms = self.times.wait_ms
-        self._outage = OutageDetector(self.times.away_calls)
-        self._pending = PendingAnswers(self.times.pending_hold_after_ms, self.times.hold_most_ms)
+        self._wait_ms = self.times.initial_backoff_ms
+        self._outage = OutageDetector(self.times.outage_calls)
+        self._pending = PendingAnswers(self.times.pending_hold_after_ms, self.times.max_hold_ms)
 
     @property
     def _rank_share(self) -> float:
@@ -60,7 +60,7 @@
     def started(self, now: float) -> None:
         """This node knows only an old list. First calls are spread evenly, by rank."""
         self._confirmed_at = now
-        self._next_at = now + 1.0 + self.times.first_call_ms * self._rank_share
+        self._next_at = now + 1.0 + self.times.first_call_spread_ms * self._rank_share
         self._hold_from = now + self.times.start_hold_after_ms
 
     def restarted(self, now: float) -> None:
@@ -99,7 +99,7 @@
         self._calls += 1
         if not self._outage.seems_down:
             # A call that brings nothing must not keep others from bringing the news.
-            self._beside_at = now + self.times.beside_ms
+            self._beside_at = now + self.times.parallel_call_after_ms
         return True
 
     def former_watch_ended(self, heard_at: float) -> None:
@@ -129,7 +129,7 @@
             return
         self._next_at = now
         if self._outage.failed(CallFailure.LATE, now):
-            self._cannot_be_reached(now - self.times.redial_ms)
+            self._cannot_be_reached(now - self.times.late_call_after_ms)
 
     def call_reached(self, now: float, event: DiscoveryCallReached) -> None:
         """The connection of a call came up, and its request was written."""
@@ -182,7 +182,7 @@
         Where it is away the known list serves on, and so it does once this has lasted for too long: sooner
         where no call was answered with a good head, which shows that it is there.
         """
-        if self._partial_from <= now < self._partial_from + self.times.hold_most_ms:
+        if self._partial_from <= now < self._partial_from + self.times.max_hold_ms:
             return HoldCause.CUT_SHORT
         # What was asked while an unconfirmed list was not relied on holds no longer than that did.
         if self._pending.may_be_lost(now, after=self._hold_until if now >= self._hold_until else -NEVER):
@@ -193,14 +193,14 @@
 
     def hold_may_end_at(self, now: float) -> float:
         """The next moment at which time alone may end a hold; infinite if only an event can."""
-        ends = [self._partial_from + self.times.hold_most_ms, self._hold_until, *self._pending.expiries()]
+        ends = [self._partial_from + self.times.max_hold_ms, self._hold_until, *self._pending.expiries()]
         return min((at for at in ends if at > now), default=NEVER)
 
     @property
     def _hold_until(self) -> float:
         """When an unconfirmed list has to serve again."""
-        shown_ms = min(max(0.0, self._answered_at - self._hold_from), self.times.hold_longer_ms)
-        return self._hold_from + self.times.hold_most_ms + shown_ms
+        shown_ms = min(max(0.0, self._answered_at - self._hold_from), self.times.hold_extension_ms)
+        return self._hold_from + self.times.max_hold_ms + shown_ms
 
     def trust(self, now: float) -> ListTrust:
         """Whether requests are sent by the list, in one word."""
@@ -221,11 +221,11 @@
 
     def _drawn_wait(self) -> float:
         """A wait that grows with each failure and keeps processes apart."""
-        most_ms = self.times.wait_most_ms
+        most_ms = self.times.max_backoff_ms
         if self._outage.seems_down:
-            most_ms = self.times.away_wait_ms  # each call that is out holds requests
+            most_ms = self.times.outage_max_backoff_ms  # each call that is out holds requests
         elif self._late_failures >= CROWDED_FAILURES:
-            most_ms = self.times.crowded_wait_ms
+            most_ms = self.times.overload_max_backoff_ms
         self._wait_ms = min(2.0 * self._wait_ms, most_ms)
         return self._wait_ms * self._rng.uniform(*WAIT_SHARES)
 
@@ -234,7 +234,7 @@
         self._calls = 0
         self._outage.reset(watch_was_ended)
         self._late_failures = 0
-        self._wait_ms = self.times.wait_ms
+        self._wait_ms = self.times.initial_backoff_ms
 
 
 def way_of(event: DiscoveryCallFailed) -> CallFailure:
--- a/lupinlink/brain/discovery_times.py
+++ b/lupinlink/brain/discovery_times.py
@@ -21,7 +21,7 @@
 
 from lupinlink.settings import Settings
 
-TOLD_MS = 6000.0  # protocol: what discovery has counts as told after this time
+NOTIFIED_AFTER_MS = 6000.0  # protocol: what discovery has counts as told after this time
 ANSWER_MS = 2000.0  # protocol: a call is answered within this time, or fails
 HEARTBEAT_MS = 2000.0  # protocol: a watch on which nothing changes brings an empty line this often
 PAUSE_MS = 150.0  # protocol: a process may be held up for so long between its clock and its write
@@ -43,7 +43,7 @@
 NEW_NODE_MS = 3150.0  # simulator: a node that has heard nothing for so long since its start waits for news
 PROMPT_MS = 500.0  # machine: a discovery that nothing ails has answered a call by then
 START_MS = 1000.0  # machine: a local agent has answered a process that starts by then
-HOLD_MOST_MS = 12000.0  # neither: four calls that fail late, one after the other, with the waits between
+MAX_HOLD_MS = 12000.0  # neither: four calls that fail late, one after the other, with the waits between
 CALL_SPACE_MS = 125.0  # neither: between the calls of all processes, while the pace of discovery is not known
 FIRST_CALL_LEAST_MS = 1000.0  # machine: processes that start together do so within about this time
 FIRST_CALL_MOST_MS = 2650.0  # neither: requests wait for its answer, but calls at once crowd each other out
@@ -54,25 +54,27 @@
 class DiscoveryTimes:
     """What one process goes by; milliseconds."""
 
-    silence_ms: float  # a watch that shows no sign of life for so long is broken
-    quiet_ms: float  # an answer that has brought nothing for so long has nothing to bring
-    answer_ms: float  # a call is given up so long after its connection came up, or was begun
-    redial_ms: float  # so long may a call wait before another one is made beside it
-    beside_ms: float  # so long after a call that has brought nothing yet another one is made beside it
-    away_calls: int  # so many calls in a row that were taken and brought nothing: discovery is down
-    wait_ms: float  # before the next call, at first; doubled with each failure
-    wait_most_ms: float  # and at most
-    crowded_wait_ms: float  # and at most after several late failures in a row
-    away_wait_ms: float  # and at most once discovery is taken for down
-    first_call_ms: float  # the first calls of all processes that start together are spread over this
+    silence_timeout_ms: float  # a watch that shows no sign of life for so long is broken
+    unchanged_after_ms: float  # an answer that has brought nothing for so long has nothing to bring
+    answer_timeout_ms: float  # a call is given up so long after its connection came up, or was begun
+    late_call_after_ms: float  # so long may a call wait before another one is made beside it
+    parallel_call_after_ms: (
+        float  # so long after a call that has brought nothing yet another one is made beside it
+    )
+    outage_calls: int  # so many calls in a row that were taken and brought nothing: discovery is down
+    initial_backoff_ms: float  # before the next call, at first; doubled with each failure
+    max_backoff_ms: float  # and at most
+    overload_max_backoff_ms: float  # and at most after several late failures in a row
+    outage_max_backoff_ms: float  # and at most once discovery is taken for down
+    first_call_spread_ms: float  # the first calls of all processes that start together are spread over this
     hold_after_ms: float  # without news for so long, the list is no longer relied on
     start_hold_after_ms: float  # the same for a node that was told nothing since its start
     move_hold_after_ms: float  # and after a move to another discovery
     pending_hold_after_ms: (
         float  # a call's answer may be lost: so long after its request, no longer relied on
     )
-    hold_most_ms: float  # and so long at most: then discovery cannot tell, and what is known has to serve
-    hold_longer_ms: float  # by so much longer where good heads came meanwhile
+    max_hold_ms: float  # and so long at most: then discovery cannot tell, and what is known has to serve
+    hold_extension_ms: float  # by so much longer where good heads came meanwhile
 
     @classmethod
     def of(cls, settings: Settings) -> DiscoveryTimes:
@@ -82,58 +84,60 @@
     @classmethod
     def _asked(cls, settings: Settings) -> DiscoveryTimes:
         asking_ms = settings.must_ask_ms
-        hold_after_ms = min(TOLD_MS, asking_ms) - PAUSE_MS - LATE_MS
+        hold_after_ms = min(NOTIFIED_AFTER_MS, asking_ms) - PAUSE_MS - LATE_MS
         span_ms = max(FIRST_CALL_LEAST_MS, CALL_SPACE_MS * settings.peers)
-        first_call_ms = min(span_ms, FIRST_CALL_MOST_MS, FIRST_CALL_SHARE * asking_ms)
+        first_call_spread_ms = min(span_ms, FIRST_CALL_MOST_MS, FIRST_CALL_SHARE * asking_ms)
         spaced_ms = max(2 * WAIT_MS, 2 * CALL_SPACE_MS * settings.peers)
-        beside_ms = max(ANSWER_MS / 2, CALL_SPACE_MS * settings.peers)
+        parallel_call_after_ms = max(ANSWER_MS / 2, CALL_SPACE_MS * settings.peers)
         return cls(
-            silence_ms=HEARTBEAT_MS + SILENCE_SLACK_MS,
-            quiet_ms=HEARTBEAT_MS + LATE_MS,
-            answer_ms=ANSWER_MS + LATE_MS,
-            redial_ms=REDIAL_MS,
-            beside_ms=beside_ms,
-            away_calls=max(AWAY_CALLS_LEAST, 1 + int((TOLD_MS - ANSWER_MS) / beside_ms)),
-            wait_ms=WAIT_MS,
-            wait_most_ms=min(spaced_ms, WAIT_MOST_MS, asking_ms / 2),
-            crowded_wait_ms=min(spaced_ms, CROWDED_WAIT_MS, asking_ms / 2),
-            away_wait_ms=min(CROWDED_WAIT_MS, asking_ms / 2),
-            first_call_ms=first_call_ms,
+            silence_timeout_ms=HEARTBEAT_MS + SILENCE_SLACK_MS,
+            unchanged_after_ms=HEARTBEAT_MS + LATE_MS,
+            answer_timeout_ms=ANSWER_MS + LATE_MS,
+            late_call_after_ms=REDIAL_MS,
+            parallel_call_after_ms=parallel_call_after_ms,
+            outage_calls=max(
+                AWAY_CALLS_LEAST, 1 + int((NOTIFIED_AFTER_MS - ANSWER_MS) / parallel_call_after_ms)
+            ),
+            initial_backoff_ms=WAIT_MS,
+            max_backoff_ms=min(spaced_ms, WAIT_MOST_MS, asking_ms / 2),
+            overload_max_backoff_ms=min(spaced_ms, CROWDED_WAIT_MS, asking_ms / 2),
+            outage_max_backoff_ms=min(CROWDED_WAIT_MS, asking_ms / 2),
+            first_call_spread_ms=first_call_spread_ms,
             hold_after_ms=hold_after_ms,
-            start_hold_after_ms=min(first_call_ms + PROMPT_MS, NEW_NODE_MS, hold_after_ms),
+            start_hold_after_ms=min(first_call_spread_ms + PROMPT_MS, NEW_NODE_MS, hold_after_ms),
             move_hold_after_ms=hold_after_ms,
             pending_hold_after_ms=GRACE_MS - PAUSE_MS,
-            hold_most_ms=HOLD_MOST_MS,
-            hold_longer_ms=HOLD_MOST_MS,
+            max_hold_ms=MAX_HOLD_MS,
+            hold_extension_ms=MAX_HOLD_MS,
         )
 
     @classmethod
     def _pushed(cls) -> DiscoveryTimes:
         """A local agent: it costs nothing to ask, and what it has counts at once."""
         return cls(
-            silence_ms=HEARTBEAT_MS + SILENCE_SLACK_MS,
-            quiet_ms=AGENT_QUIET_MS,
-            answer_ms=AGENT_ANSWER_MS,
-            redial_ms=AGENT_REDIAL_MS,
-            beside_ms=AGENT_REDIAL_MS,
-            away_calls=1 + int(START_MS / AGENT_REDIAL_MS),  # no fewer than while requests are held
-            wait_ms=AGENT_WAIT_MS,
-            wait_most_ms=AGENT_WAIT_MS,
-            crowded_wait_ms=AGENT_WAIT_MS,
-            away_wait_ms=AGENT_WAIT_MS,
-            first_call_ms=0.0,
-            hold_after_ms=TOLD_MS - PAUSE_MS - LATE_MS,
-            start_hold_after_ms=TOLD_MS - PAUSE_MS - LATE_MS,
+            silence_timeout_ms=HEARTBEAT_MS + SILENCE_SLACK_MS,
+            unchanged_after_ms=AGENT_QUIET_MS,
+            answer_timeout_ms=AGENT_ANSWER_MS,
+            late_call_after_ms=AGENT_REDIAL_MS,
+            parallel_call_after_ms=AGENT_REDIAL_MS,
+            outage_calls=1 + int(START_MS / AGENT_REDIAL_MS),  # no fewer than while requests are held
+            initial_backoff_ms=AGENT_WAIT_MS,
+            max_backoff_ms=AGENT_WAIT_MS,
+            overload_max_backoff_ms=AGENT_WAIT_MS,
+            outage_max_backoff_ms=AGENT_WAIT_MS,
+            first_call_spread_ms=0.0,
+            hold_after_ms=NOTIFIED_AFTER_MS - PAUSE_MS - LATE_MS,
+            start_hold_after_ms=NOTIFIED_AFTER_MS - PAUSE_MS - LATE_MS,
             move_hold_after_ms=MOVED_MS - PAUSE_MS - LATE_MS,
             pending_hold_after_ms=math.inf,  # what an agent has counts whether or not it was written
-            hold_most_ms=START_MS,
-            hold_longer_ms=0.0,
+            max_hold_ms=START_MS,
+            hold_extension_ms=0.0,
         )
 
     def failed_call_chain_ms(self) -> float:
         """From discovery's return to its news: a call without an answer, the wait, the call that delivers."""
-        return self.answer_ms + WAIT_SHARES[1] * self.wait_most_ms + ANSWER_MS
+        return self.answer_timeout_ms + WAIT_SHARES[1] * self.max_backoff_ms + ANSWER_MS
 
     def silent_watch_chain_ms(self) -> float:
         """From a watch's last sign of life to the news: a dial that never comes up, another beside it."""
-        return self.silence_ms + self.redial_ms + ANSWER_MS
+        return self.silence_timeout_ms + self.late_call_after_ms + ANSWER_MS
--- a/lupinlink/brain/dispatching.py
+++ b/lupinlink/brain/dispatching.py
@@ -3,24 +3,24 @@
 import math
 from random import Random
 
-from lupinlink.brain.choice import LATENCY, OVERDUE_GAIN
-from lupinlink.brain.discovering import Discovering
+from lupinlink.brain.discovery_node import DiscoveryNode
 from lupinlink.brain.health import MAX_EJECTED
-from lupinlink.brain.repeats import begin_by, bound_to_cell, may_follow, may_follow_anywhere, may_refuse
+from lupinlink.brain.retry_rules import begin_by, bound_to_cell, may_follow, may_follow_anywhere, may_refuse
+from lupinlink.brain.server_selection import LATENCY, OVERDUE_GAIN
 from lupinlink.brain.waiting import WaitingFor, WaitingRequest, WaitingRequests
 from lupinlink.interface import Attempt, Cancel, Fail, RefusalCause, Refuse, Request, Server, Settings
 
 RETRY_AFTER = 0.5  # advice in aims
 OVERDUE_DEVS, OVERDUE_LEAST = 2.0, 0.5  # later than so many deviations, and so many aims, is news
 OVERDUE_AGAIN, LOST_DEVS, SILENT_MOST = 1.5, 20.0, 3  # so many times the age again; lost beyond; it hangs
-LOOK_MS = 50.0  # where no backend may take a request, so long until the next look, one for all that wait
-MOST_ASKED = 2048  # backends that are looked through in such a span beside those drawn, for all that wait
+SCAN_INTERVAL_MS = 50.0  # between two scans for all waiting requests, while no backend can take one
+MAX_SCANNED_PER_INTERVAL = 2048  # backends, beside those drawn, for all requests together
 ANSWER_MARGIN_MS = 15.0  # a refusal goes out so long before its client leaves
 REFUSED_FOR = {WaitingFor.LIST: RefusalCause.LIST_HELD, WaitingFor.BACKEND: RefusalCause.NO_BACKEND}
 SENT_AT_ONCE = 16  # most requests that begin in one turn of the loop after a wait
 
 
-class Dispatching(Discovering):
+class DispatchingNode(DiscoveryNode):
     """Sends requests, or has them wait."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -74,39 +74,39 @@
         def fits(server: Server) -> bool:
             return self.has_room(server, now) and self.may_take(request, server, now)
 
-        server = self.split.pick(now, self, request.arrival.key, fits)
+        server = self.selector.pick(now, self, request.arrival.key, fits)
         if server is None and now >= self.none_free_until and self.may_look_through(now):
             server = self.look_at_more(request, now)
         return server
 
     def may_look_through(self, now: float) -> bool:
         """Whether few enough backends were looked through lately: requests that fit nowhere may be many."""
-        if now >= self.asked_from + LOOK_MS:
+        if now >= self.asked_from + SCAN_INTERVAL_MS:
             self.asked, self.asked_from = 0, now
-        return self.asked < MOST_ASKED
+        return self.asked < MAX_SCANNED_PER_INTERVAL
 
     def look_at_more(self, request: Request, now: float) -> Server | None:
         """One of those that were not drawn."""
         row = bound_to_cell(request)
         if row is not None:
-            near = [s for s in self.split.stretch.cell(row.zone, row.cell) if self.split.may_be_asked(s, now)]
+            near = [s for s in self.selector.subset.cell(row.zone, row.cell) if self.selector.may_use(s, now)]
             self.asked += len(near)
             return self.draw_fitting(request, [s for s in near if self.has_room(s, now)], now)
         any_free = False
-        for servers in self.split.not_drawn(now):
+        for servers in self.selector.fallback_candidates(now):
             self.asked += len(servers)
             free = [s for s in servers if self.has_room(s, now) and self.slow_start.allows(s, now)]
             any_free = any_free or bool(free)
             if (found := self.draw_fitting(request, free, now)) is not None:
                 return found
         if not any_free:
-            self.none_free_until = now + LOOK_MS
+            self.none_free_until = now + SCAN_INTERVAL_MS
         return None
 
     def draw_fitting(self, request: Request, servers: list[Server], now: float) -> Server | None:
         """One that may take this request, by its weight."""
         fitting = [server for server in servers if self.may_take(request, server, now)]
-        return self.split.draw_from(fitting, now) if fitting else None
+        return self.selector.draw_from(fitting, now) if fitting else None
 
     def has_room(self, server: Server, now: float) -> bool:
         """Whether it may have one more request, whichever it is."""
@@ -193,8 +193,8 @@
     def plan_look(self, now: float) -> None:
         """One look for all that wait for a backend."""
         if self.look_at == math.inf and self.waiting.any(WaitingFor.BACKEND):
-            self.look_at = now + LOOK_MS
-            self.after(LOOK_MS, self.look_due)
+            self.look_at = now + SCAN_INTERVAL_MS
+            self.after(SCAN_INTERVAL_MS, self.look_due)
 
     def look_due(self, now: float) -> None:
         """It is time for the next look."""
@@ -226,7 +226,7 @@
         if attempt.status is not None:
             return
         server, age, stats = attempt.server, now - attempt.sent_at, self.latency[request.arrival.class_index]
-        self.split.observe(server, age / stats.mean, LATENCY, OVERDUE_GAIN, now)
+        self.selector.observe(server, age / stats.mean, LATENCY, OVERDUE_GAIN, now)
         self.after((OVERDUE_AGAIN - 1.0) * age, lambda t: self.overdue(request, attempt, t))
         # Danger: a server that hangs eats what it is sent; where it answers others, one connection is silent.
         quiet = server.heard_at < attempt.sent_at
@@ -244,7 +244,7 @@
         if not may_follow_anywhere(attempt, request.cls, now):
             return False
         used = {a.server.row.name for a in request.attempts}  # by name: a restart makes none new
-        row, stretch = bound_to_cell(request), self.split.stretch
+        row, stretch = bound_to_cell(request), self.selector.subset
         servers = stretch.usable() if row is None else stretch.cell(row.zone, row.cell)
         others = (s for s in servers if s.row.name not in used)
         return any(may_follow(attempt, request.cls, s.row, now) for s in others)
--- a/lupinlink/brain/health.py
+++ b/lupinlink/brain/health.py
@@ -45,7 +45,7 @@
         return server.tokens >= 1.0 or self.least(server, now) >= 1.0
 
 
-class Health:
+class OutlierDetector:
     """Outlier ejection by failures, with a cap; the way back is the fading of a bad figure."""
 
     def __init__(self, rng: Random) -> None:
--- a/lupinlink/brain/learning.py
+++ b/lupinlink/brain/load_monitoring.py
@@ -4,11 +4,19 @@
 from random import Random
 
 from lupinlink import interface as api
-from lupinlink.brain.admission import SEED_X, Admission, SheddingOrder
-from lupinlink.brain.choice import FADE_MS, LATENCY, LATENCY_GAIN, OVERDUE_GAIN, REPORT, REPORT_GAIN, Split
+from lupinlink.brain.admission import INITIAL_SERVICE_TIME, Admission, SheddingOrder
 from lupinlink.brain.concurrency import ConcurrencyLimits
-from lupinlink.brain.health import Health, SlowStart
+from lupinlink.brain.health import OutlierDetector, SlowStart
 from lupinlink.brain.ready_capacity import ReadyCapacity
+from lupinlink.brain.server_selection import (
+    FADE_MS,
+    LATENCY,
+    LATENCY_GAIN,
+    OVERDUE_GAIN,
+    REPORT,
+    REPORT_GAIN,
+    ServerSelector,
+)
 from lupinlink.interface import Attempt, LatencyStats, Period, Request, Server, Status
 from lupinlink.node import Node
 
@@ -23,17 +31,24 @@
 HEALTH_GAIN, TIMEOUT_GAIN = 0.2, 0.3  # one broken answer or connection says little of the next
 
 
-class Learning(Node):
+class LoadMonitoringNode(Node):
     """Learns from each piece of news and, period by period, revises the admission."""
 
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.latency = [LatencyStats(c.aim_ms * SEED_X, c.aim_ms * SEED_X) for c in settings.classes]
+        self.latency = [
+            LatencyStats(c.aim_ms * INITIAL_SERVICE_TIME, c.aim_ms * INITIAL_SERVICE_TIME)
+            for c in settings.classes
+        ]
         late = sum(c.late_worth for c in settings.classes) / len(settings.classes)
         self.admission = Admission(settings.peers, late, settings.warm_keys)
-        self.order, self.health, self.slow_start = SheddingOrder(settings), Health(rng), SlowStart(settings)
+        self.shedding_order, self.outlier_detector, self.slow_start = (
+            SheddingOrder(settings),
+            OutlierDetector(rng),
+            SlowStart(settings),
+        )
         self.limits = ConcurrencyLimits(settings.peers)
-        self.split = Split(settings, self.slow_start, rng, self.limits)
+        self.selector = ServerSelector(settings, self.slow_start, rng, self.limits)
         self.ready_capacity = ReadyCapacity(self.slow_start)
         self.period, self.probe_tokens = Period(0.0), 0.0
         self.probes = settings.may_probe and settings.reports_in_probes and not settings.reports_in_answers
@@ -46,39 +61,41 @@
 
     def take_back(self, now: float) -> None:
         """Servers whose ejection is over may be asked again."""
-        for server in self.health.returned(now):
+        for server in self.outlier_detector.returned(now):
             self.usable_changed(server, now)
 
     def usable_changed(self, server: Server, now: float) -> None:
         """It may take work from now on, or may not."""
         usable = server.usable(now) and self.servers.get(server.row.name) is server
-        self.split.stretch.set_usable(server, usable, now)
+        self.selector.subset.set_usable(server, usable, now)
         self.ready_capacity.set_usable(server, usable, now)
 
     def listed(self, server: Server) -> None:
         """A new process: the first token is drawn, so that the nodes do not all meet it cold at once."""
         server.tokens = self.rng.random()
-        self.split.stretch.listed(server)
+        self.selector.subset.listed(server)
 
     def left(self, server: Server, now: float) -> None:
         self.usable_changed(server, now)
-        self.split.stretch.left(server, now)
+        self.selector.subset.left(server, now)
 
     def eject(self, server: Server, now: float, most: float) -> None:
         """Leave it out for a while, if not so many are."""
-        if self.health.eject(server, now, most):
+        if self.outlier_detector.eject(server, now, most):
             self.usable_changed(server, now)
 
     def look_ahead(self, now: float) -> None:
         """Fewer servers may be left: refuse from now on what they cannot bear, the delay tells too late."""
         admission, share = self.admission, self.admission.foresight.look(self.capacity(now))
-        if share < admission.admit:
-            admission.admit, admission.refusing, admission.delta = share, True, 0.0
+        if share < admission.admit_probability:
+            admission.admit_probability, admission.refusing, admission.delta = share, True, 0.0
             self.begin_period(now)
 
     def begin_period(self, now: float) -> None:
         """From here on by the admission as it stands."""
-        self.order.revise(self.admission.admit, max(now - self.period.start, 1.0) / 1000.0, self.latency)
+        self.shedding_order.revise(
+            self.admission.admit_probability, max(now - self.period.start, 1.0) / 1000.0, self.latency
+        )
         self.period = Period(now)
 
     def end_period(self, now: float) -> None:
@@ -92,10 +109,10 @@
         busy = period.busy_sum / period.busy_count if period.busy_count >= MIN_SAMPLES else None
         rate, delay, ready = fresh / seconds, self.delay(period, seconds, now), self.capacity(now)
         self.admission.revise(rate, delay, ready, busy, min(1.0, period.held / max(1, period.arrivals)))
-        even = period.arrivals / seconds / 1000.0 / max(1, len(self.split.table))
+        even = period.arrivals / seconds / 1000.0 / max(1, len(self.selector.table))
         self.slow_start.per_server += 0.5 * (even - self.slow_start.per_server)
         over = (self.admission.delay / self.admission.target - SPILL_FROM) / SPILL_SPAN
-        self.split.spill = min(max(over, 0.0), 1.0)
+        self.selector.spill = min(max(over, 0.0), 1.0)
         self.begin_period(now)
 
     def delay(self, period: Period, seconds: float, now: float) -> float | None:
@@ -124,17 +141,17 @@
         if status in (Status.OK, Status.ERROR, Status.OVERLOADED, Status.REJECTED):
             server.heard_at, server.silent, server.absent = now, 0, 0
         if status == Status.OK:
-            self.split.recent.used(server, now)
+            self.selector.recent.used(server, now)
             gain = 0.0 if self.settings.reports_in_answers else LATENCY_GAIN
-            self.split.observe(server, delay * aim / stats.mean, LATENCY, gain, now)
+            self.selector.observe(server, delay * aim / stats.mean, LATENCY, gain, now)
             stats.add(delay * aim, STATS_GAIN)
             self.limits.answered(event.report, delay)
         elif status == Status.OVERLOADED:
-            self.split.observe(server, FULL_FIGURE, LATENCY, OVERDUE_GAIN, now)
+            self.selector.observe(server, FULL_FIGURE, LATENCY, OVERDUE_GAIN, now)
             delay = FULL_DELAY
         if not load and status not in (Status.OVERLOADED, Status.CANCELLED, Status.NOT_SENT, Status.REJECTED):
             gain = TIMEOUT_GAIN if status == Status.TIMEOUT else HEALTH_GAIN
-            if self.health.record(server, gain, status != Status.OK, now, self.ready):
+            if self.outlier_detector.record(server, gain, status != Status.OK, now, self.ready):
                 self.usable_changed(server, now)
         server.absent += status == Status.UNREACHABLE
         if status == Status.UNREACHABLE and server.absent >= ABSENT_MOST:  # nothing is there, at however many
@@ -152,18 +169,18 @@
             self.period.report(report["utilization"])
         for name in ("in_flight", "queued", "latency_ms", "utilization"):
             if report and name in report:
-                return self.split.observe(server, 1.0 + report[name], REPORT, REPORT_GAIN, now)
+                return self.selector.observe(server, 1.0 + report[name], REPORT, REPORT_GAIN, now)
 
     def probe_some(self) -> None:
         """Where reports come by probe only, make up for what this node's own requests do not show."""
         self.probe_tokens += PROBE_MOST / (1.0 + self.slow_start.per_server * FADE_MS) ** 2
-        if self.probes and self.split.table and self.probe_tokens >= 1.0:
+        if self.probes and self.selector.table and self.probe_tokens >= 1.0:
             self.probe_tokens = 0.0
-            drawn = [self.split.table.draw(self.rng.random()) for _ in range(PROBE_DRAWS)]
+            drawn = [self.selector.table.draw(self.rng.random()) for _ in range(PROBE_DRAWS)]
             self.actions.append(api.Probe(min(drawn, key=lambda s: s.known_at).row.name))
 
     def probed(self, server: Server, event: api.ProbeResult, now: float) -> None:
         if event.status == Status.OK:
             self.report(server, event.report, now)
         elif event.status == Status.TIMEOUT:
-            self.split.observe(server, FULL_FIGURE, LATENCY, OVERDUE_GAIN, now)
+            self.selector.observe(server, FULL_FIGURE, LATENCY, OVERDUE_GAIN, now)
--- a/lupinlink/brain/choice.py
+++ b/lupinlink/brain/server_selection.py
@@ -6,7 +6,7 @@
 
 from lupinlink.brain.concurrency import ConcurrencyLimits
 from lupinlink.brain.health import SlowStart
-from lupinlink.brain.stretch import Stretch
+from lupinlink.brain.server_subset import ServerSubset
 from lupinlink.interface import Server, Settings
 from lupinlink.node import Node
 from lupinlink.spread.aperture import Aperture
@@ -17,11 +17,14 @@
 LATENCY, REPORT = 0, 1  # sources of a load figure
 SHARPNESS, TRUST_GAIN, TRUST_MIN = 1.8, 0.01, 0.1  # power of the known load, cut to what it foretold so far
 FADE_MS = 4000.0  # a figure this old counts for 1/e of itself: the share fades to even
-TABLE_MS, TABLE_MIN_MS = 200.0, 20.0  # weights are drawn up anew this often, or this soon after trouble
+WEIGHTS_INTERVAL_MS, TABLE_MIN_MS = (
+    200.0,
+    20.0,
+)  # weights are drawn up anew this often, or this soon after trouble
 REPORT_GAIN, LATENCY_GAIN, OVERDUE_GAIN = 0.6, 0.3, 0.5  # reports count all nodes', a latency much chance
 SIZE_RATE, KIND_RATE, SIZE_MAX, LOAD_MAX = 0.04, 0.3, 1.5, 3.0  # of a log load a second; bounds on logs
 LEVEL_GAIN, GROUP_GAIN = 0.02, 0.05  # of one figure for the usual of all, and of its group
-OWN_SHARPNESS, PICK_TRIES = 4.0, 8  # power of this node's own requests in flight over size; most draws
+OWN_SHARPNESS, MAX_DRAWS = 4.0, 8  # power of this node's own requests in flight over size; most draws
 # Among very many servers hardly any is drawn again before its connection is closed at rest. Those that came
 # into use within that share of the time for which one may rest are asked as if there were so many only.
 REUSED_AMONG, REST_SHARE = 128, 0.5
@@ -29,7 +32,7 @@
 PRICE_SCALE = 30.0  # log weight lost for each point of the crossing price, while the own zone is at ease
 
 
-class Split:
+class ServerSelector:
     """Random choice of a server, weighted against its last known load, fading to even with age."""
 
     def __init__(
@@ -40,8 +43,8 @@
         self.levels: dict[tuple[int, int], float] = {}  # usual log figure: of zones' latencies, of reports
         self.due_at, self.spill, self.cov, self.var, self.trust = -math.inf, 0.0, 0.05, 0.1, 0.5
         self.homes = Homes(settings.peers)
-        self.stretch = Stretch(Aperture(settings.rank, settings.peers), self.weight)
-        self.table = self.stretch.table
+        self.subset = ServerSubset(Aperture(settings.rank, settings.peers), self.weight)
+        self.table = self.subset.table
         self.recent: RecentUse[Server] = RecentUse(REST_SHARE * settings.idle_close_ms)
         self._weighings = self._looks = 0  # each has its own turn of the table
         self._told: dict[Server, None] = {}  # news of these has come since their weights were drawn up
@@ -92,13 +95,13 @@
         """Draw weights up anew, where it is time: of all servers, or of very many some at each turn."""
         if now < self.due_at:
             return
-        self.stretch.settle(now)
+        self.subset.settle(now)
         self._weighings += 1
         for server in (*self._told, *self.table.some(self._weighings)):
             if server in self.table:
                 self.table.set(server, self.weight(server, now))
         self._told.clear()
-        self.due_at = now + TABLE_MS
+        self.due_at = now + WEIGHTS_INTERVAL_MS
         self.trust = min(max(self.cov / self.var, TRUST_MIN), 1.0)
 
     def pick(self, now: float, node: Node, key: str, fits: Callable[[Server], bool]) -> Server | None:
@@ -115,16 +118,16 @@
                     return server
         return last[1] if last is not None else None
 
-    def not_drawn(self, now: float) -> Iterable[list[Server]]:
+    def fallback_candidates(self, now: float) -> Iterable[list[Server]]:
         """Servers to ask where none that is drawn fits: of the stretch, then warm ones outside of it.
 
         Of very many it is some each time, and others the next.
         """
         self._looks += 1
         yield self.table.some(self._looks)
-        yield [s for s in self.stretch.outside() if self.may_be_asked(s, now)]
+        yield [s for s in self.subset.outside() if self.may_use(s, now)]
 
-    def may_be_asked(self, server: Server, now: float) -> bool:
+    def may_use(self, server: Server, now: float) -> bool:
         """Outside of the stretch only warm ones may: what is earned there is many times the fleet's share."""
         return server in self.table or self.slow_start.least(server, now) >= 1.0
 
@@ -145,12 +148,12 @@
             mix = checksum(key)
             self.homes.met(mix)
             number = self.homes.number(mix, len(self.table))
-            yield from self.table.homes(mix, number, PICK_TRIES, self.rng.random())
+            yield from self.table.homes(mix, number, MAX_DRAWS, self.rng.random())
             return
         if len(self.table) > MOST_IN_BUCKET and self._reuses(now):
             server = self.recent.draw(self.rng.random(), now)
             if server is not None and server in self.table and server.out == 0:
                 yield server
-        for _ in range(PICK_TRIES):
+        for _ in range(MAX_DRAWS):
             self.draw = (self.draw + GOLDEN) % 1.0
             yield self.table.draw(self.draw)
--- a/lupinlink/brain/stretch.py
+++ b/lupinlink/brain/server_subset.py
@@ -15,7 +15,7 @@
 server_at: Callable[[RingPlace], Server] = itemgetter(2)
 
 
-class Stretch:
+class ServerSubset:
     """The usable servers of this node's part of the ring, with their weights."""
 
     def __init__(self, aperture: Aperture, weigh: Callable[[Server, float], float]) -> None:
--- a/lupinlink/lab/variants.py
+++ b/lupinlink/lab/variants.py
@@ -14,13 +14,13 @@
 from lupinlink import interface as api
 from lupinlink.brain import Balancer
 from lupinlink.brain.admission import Admission
-from lupinlink.brain.choice import Split
-from lupinlink.brain.health import Health
+from lupinlink.brain.health import OutlierDetector
+from lupinlink.brain.server_selection import ServerSelector
 from lupinlink.interface import Server
 from lupinlink.node import Node
 
 
-class EvenSplit(Split):
+class EvenSelector(ServerSelector):
     """Any ready server that fits, whatever is known of its load."""
 
     def pick(self, now: float, node: Node, key: str, fits: Callable[[Server], bool]) -> Server | None:
@@ -28,7 +28,7 @@
         found = [server for server in self.table if fits(server)]
         return self.rng.choice(found) if found else None
 
-    def not_drawn(self, now: float) -> Iterable[list[Server]]:
+    def fallback_candidates(self, now: float) -> Iterable[list[Server]]:
         return []
 
 
@@ -37,7 +37,7 @@
 
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.split = EvenSplit(settings, self.slow_start, rng, self.limits)
+        self.selector = EvenSelector(settings, self.slow_start, rng, self.limits)
 
 
 class Open(Admission):
@@ -47,7 +47,7 @@
         self, rate: float, delay: float | None, ready: float, busy: float | None = None, through: float = 0.0
     ) -> None:
         super().revise(rate, delay, ready, busy, through)
-        self.admit, self.refusing, self.foresight.need = 1.0, False, 0.0
+        self.admit_probability, self.refusing, self.foresight.need = 1.0, False, 0.0
 
 
 class NoRefusals(Balancer):
@@ -56,7 +56,7 @@
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         super().__init__(settings, rng)
         self.admission = Open(settings.peers, 0.0)
-        self.admission.target = self.admission.least_target
+        self.admission.target = self.admission.min_target
 
 
 class NoKeys(Balancer):
@@ -66,7 +66,7 @@
         super().__init__(replace(settings, warm_keys=False), rng)
 
 
-class Patient(Health):
+class Patient(OutlierDetector):
     """Leaves nobody out."""
 
     def eject(self, server: Server, now: float, most: float) -> bool:
@@ -78,7 +78,7 @@
 
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.health = Patient(rng)
+        self.outlier_detector = Patient(rng)
 
 
 VARIANTS: dict[str, type[Balancer]] = {
--- a/lupinlink/net/discovery_client.py
+++ b/lupinlink/net/discovery_client.py
@@ -233,7 +233,7 @@
             self._call_for_whole("the whole list is asked for")
 
     def _ended(self, end: WatchEnd, watch: Watch) -> None:
-        self._log.ended(end, watch, self.version, self._times.silence_ms)
+        self._log.ended(end, watch, self.version, self._times.silence_timeout_ms)
         if watch in self._asked:
             self._asked.remove(watch)
             self.tell(end.as_failed_call(watch.number, watch.asks_whole))
--- a/lupinlink/net/watch.py
+++ b/lupinlink/net/watch.py
@@ -64,8 +64,8 @@
 
     def dial(self, reactor: Reactor) -> None:
         """Go out; our timers cover the dial as well, so Twisted's own time-out is off."""
-        self._expect(self._times.answer_ms)
-        self._late = self._clock.after(self._times.redial_ms, self._is_late)
+        self._expect(self._times.answer_timeout_ms)
+        self._late = self._clock.after(self._times.late_call_after_ms, self._is_late)
         connector = reactor.connectTCP(*self.address, WatchDial(self), timeout=None)
         if self._over:
             connector.disconnect()
@@ -75,7 +75,7 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.reached = True
-        self._expect(self._times.answer_ms)
+        self._expect(self._times.answer_timeout_ms)
         if not self._pushed:
             self._drop_late()
         self._ask()
@@ -93,7 +93,7 @@
         Danger: bytes alone are none. What drips for ever tells nothing, and would keep a dead watch.
         """
         self._heard_at = self._clock.now()
-        self._expect(self._times.silence_ms)
+        self._expect(self._times.silence_timeout_ms)
 
     def _expect(self, within_ms: float) -> None:
         """The next sign of life has to come within that time."""
@@ -155,7 +155,7 @@
             self._heard()
             self._listener.answered(self)
             if not self._whole and self._pushed:
-                self._clock.after(self._times.quiet_ms, self._quiet)
+                self._clock.after(self._times.unchanged_after_ms, self._quiet)
         if self._whole:
             if whole is not None:
                 self._take_list(whole)
@@ -194,7 +194,7 @@
         self._listener.take(self, json.loads(whole.body), full=True)
         self._whole = False
         if whole.keeps_open():
-            self._expect(self._times.answer_ms)
+            self._expect(self._times.answer_timeout_ms)
             self._ask()
         else:
             self.end("the list came, the watch is still to be asked for")
--- a/tests/counted_servers.py
+++ b/tests/counted_servers.py
@@ -10,7 +10,7 @@
 from lupinlink import interface as api
 from lupinlink import node as node_module
 from lupinlink.interface import Endpoint, MembershipKind, Server, Settings
-from tests.helpers import Stand
+from tests.helpers import NodeHarness
 
 
 class CountedServer(Server):
@@ -23,7 +23,7 @@
         return super().__getattribute__(name)
 
 
-class CountedStand(Stand):
+class CountedNodeHarness(NodeHarness):
     """A node with so many backends; times are Unix time, as on sockets."""
 
     def __init__(self, settings: Settings, backends: int, started_ms: float = 0.0) -> None:
@@ -35,7 +35,7 @@
                 Endpoint(f"s-{i}", cell=i % 40, started_ms=started_ms and self.now - started_ms)
                 for i in range(backends)
             ]
-            self.members(rows)
+            self.discover(rows)
             self.rng = Random(1)
             for i in range(50):  # whatever is drawn up at first is not counted
                 self.answer(f"warm-{i}", self.ask(f"warm-{i}"))
@@ -44,12 +44,12 @@
         """Have its attempts end so, 20 ms later."""
         for action in actions:
             if isinstance(action, api.Send):
-                self.until(self.now + 20.0)
+                self.advance_to(self.now + 20.0)
                 self.end(name, status, action.endpoint)
 
     def one_changes(self, number: int) -> None:
         """News of one backend."""
-        self.members([Endpoint(f"s-{number}", cell=number % 40, size_hint=2.0)], MembershipKind.DELTA)
+        self.discover([Endpoint(f"s-{number}", cell=number % 40, size_hint=2.0)], MembershipKind.DELTA)
 
 
 def reads_of(work: Callable[[], None]) -> int:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 KEYED = RequestClass(300.0, 6000.0, 1.0, 0.5, Effect.KEYED, api.Scope.CELL, 2000.0)
 
 
-class Stand:
+class NodeHarness:
     """Drives one node by hand."""
 
     def __init__(self, settings: Settings, names: str = "abcd", seed: int = 1) -> None:
@@ -21,37 +21,37 @@
         self.now = 0.0
         self.timers: list[tuple[float, int]] = []
         self.log: list[api.Action] = []
-        self.members([Endpoint(n) for n in names])
+        self.discover([Endpoint(n) for n in names])
 
-    def give(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.node.handle(self.now, event)
         self.timers += [(self.now + a.delay_ms, a.token) for a in actions if isinstance(a, api.SetTimer)]
         self.log += actions
         return actions
 
-    def members(self, rows: list[Endpoint], kind: MembershipKind = MembershipKind.FULL) -> list[api.Action]:
-        return self.give(api.Membership(kind, rows))
+    def discover(self, rows: list[Endpoint], kind: MembershipKind = MembershipKind.FULL) -> list[api.Action]:
+        return self.handle(api.Membership(kind, rows))
 
-    def until(self, time: float) -> list[api.Action]:
+    def advance_to(self, time: float) -> list[api.Action]:
         """Let time pass, firing timers as they come due."""
         seen: list[api.Action] = []
         while self.timers and min(self.timers)[0] <= time:
             due, token = min(self.timers)
             self.timers.remove((due, token))
             self.now = max(self.now, due)
-            seen += self.give(api.TimerFired(token))
+            seen += self.handle(api.TimerFired(token))
         self.now = max(self.now, time)
         return seen
 
     def ask(self, name: str, cls: int = 0, tenant: int = 0, left: float | None = None) -> list[api.Action]:
         span = self.node.settings.classes[cls].deadline_ms if left is None else left
-        return self.give(api.Arrival(name, cls, tenant, self.now + span))
+        return self.handle(api.Arrival(name, cls, tenant, self.now + span))
 
     def end(self, name: str, status: Status, server: str, attempt: int = 0, **kw: object) -> list[api.Action]:
         closed = status == Status.OK
         report = kw.get("report")
         assert report is None or isinstance(report, dict)
-        return self.give(api.Outcome(name, status, 1.0, attempt, closed, server, report))
+        return self.handle(api.Outcome(name, status, 1.0, attempt, closed, server, report))
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
--- a/tests/test_same_actions.py
+++ b/tests/test_action_digest.py
@@ -7,7 +7,7 @@
 from lupinlink import interface as api
 from lupinlink.adapter import encode
 from lupinlink.interface import Endpoint, EndpointState, MembershipKind, Settings, Status, Tenant
-from tests.helpers import KEYED, SAFE, UNSAFE, Stand
+from tests.helpers import KEYED, SAFE, UNSAFE, NodeHarness
 
 # Who means to change actions puts the new one here and says so in the commit.
 DIGEST = "0a6620403195f5ea40284efb7136d26d34e29cecd1d0ac83c81e16c1f03053bb"
@@ -27,11 +27,11 @@
         reports_in_probes=True, reports_in_answers=not odd, may_cancel=seed % 3 > 0, warm_keys=odd,
         clients_mark_retries=odd, worth_by_work=odd, cold_ms=5000.0,
     )  # fmt: skip
-    stand = Stand(told, "", seed)
-    given = list(stand.log)
+    harness = NodeHarness(told, "", seed)
+    given = list(harness.log)
 
     def later(delay: float, event: api.Event) -> None:
-        heappush(due, (stand.now + delay, rng.random(), event))
+        heappush(due, (harness.now + delay, rng.random(), event))
 
     def row(i: int) -> Endpoint:
         state = rng.choices(list(EndpointState), (1, 6, 1))[0]
@@ -45,10 +45,10 @@
             kind = MembershipKind((3, 2, 0)[rng.randrange(3)])
             later(asked, api.Membership(kind, [row(n) for n in range(0, 20, 5 if kind == 3 else 1) if kind]))
             later(asked + 200.0, api.ClientGone(f"r{i}"))
-    while due and (asked > stand.now or stand.node.open):
+    while due and (asked > harness.now or harness.node.open):
         for action in decided(given):
-            took = rng.expovariate(1.0 / (30.0 + 10.0 * stand.node.in_flight))
-            load = {"utilization": stand.node.in_flight / 40.0, "queued": took / 9.0 - 1.1}
+            took = rng.expovariate(1.0 / (30.0 + 10.0 * harness.node.in_flight))
+            load = {"utilization": harness.node.in_flight / 40.0, "queued": took / 9.0 - 1.1}
             status = rng.choices(list(Status), (80, 2, 6, 4, 4, 2, 0, 1, 1))[0]
             if isinstance(action, api.SetTimer):
                 later(action.delay_ms, api.TimerFired(action.token))
@@ -58,11 +58,11 @@
                 name, server = action.request_id, action.endpoint
                 status = Status.UNREACHABLE if server == "s7" else status
                 took, status = min((took, status), (action.timeout_ms, Status.TIMEOUT))
-                number = len(stand.node.open[name].attempts) - 1
+                number = len(harness.node.open[name].attempts) - 1
                 later(took, api.Outcome(name, status, took, number, status == Status.OK, server, load))
-        stand.now, _, event = heappop(due)
-        given = stand.give(event)
-    return [encode("n", action) for action in decided(stand.log)]
+        harness.now, _, event = heappop(due)
+        given = harness.handle(event)
+    return [encode("n", action) for action in decided(harness.log)]
 
 
 def test_the_actions_are_those_of_the_digest() -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,27 +7,27 @@
 import pytest
 
 from lupinlink.brain.admission import (
-    DRAIN,
-    FLOOR,
-    LATE_TARGET,
-    RISE,
-    SEED_X,
-    TARGET,
-    THETA,
+    BASE_TARGET_DELAY,
+    INITIAL_SERVICE_TIME,
+    INITIAL_THETA,
+    LATE_VALUE_TARGET_DELAY,
+    MAX_RECOVERY_FACTOR,
+    MIN_ADMIT_PROBABILITY,
+    MIN_SHARE_OF_THROUGHPUT,
     Admission,
     SheddingOrder,
 )
 from lupinlink.interface import Arrival, Effect, LatencyStats, Period, RequestClass, Settings, Status, Tenant
-from tests.helpers import SAFE, Stand, sends
+from tests.helpers import SAFE, NodeHarness, sends
 
-D_REF = TARGET + LATE_TARGET * 0.5
+D_REF = BASE_TARGET_DELAY + LATE_VALUE_TARGET_DELAY * 0.5
 
 
 def test_no_refusal_below_target() -> None:
     loop = Admission(4, 0.5)
     for _ in range(5):
         loop.revise(50.0, D_REF - 0.05, 10)
-    assert loop.admit == 1.0 and not loop.refusing
+    assert loop.admit_probability == 1.0 and not loop.refusing
 
 
 def test_first_overloaded_period_by_hand() -> None:
@@ -36,9 +36,9 @@
     # so E[X] = 0.75/4 = 0.1875 s and Pa^m = (D - x) / (4 * 0.1875 * D); dPa = -0.8 * (1.4 - D) / 2.
     loop.revise(20.0, 1.4, 10)
     assert loop.work == pytest.approx(0.1875)
-    model = (D_REF - SEED_X) / (4 * 0.1875 * D_REF)
-    delta = -THETA[0] * (1.4 - D_REF) / THETA[1]
-    assert loop.admit == pytest.approx(model + delta)
+    model = (D_REF - INITIAL_SERVICE_TIME) / (4 * 0.1875 * D_REF)
+    delta = -INITIAL_THETA[0] * (1.4 - D_REF) / INITIAL_THETA[1]
+    assert loop.admit_probability == pytest.approx(model + delta)
     assert loop.refusing and loop.delta == pytest.approx(delta)
 
 
@@ -54,18 +54,22 @@
 def test_stays_on_until_full_admission_and_keeps_its_bounds() -> None:
     loop = Admission(1, 0.5)
     loop.revise(20.0, 50.0, 1)
-    assert loop.admit == FLOOR  # never below, however bad
+    assert loop.admit_probability == MIN_ADMIT_PROBABILITY  # never below, however bad
     for _ in range(200):
         loop.revise(20.0, 0.1, 1)
-        assert FLOOR <= loop.admit <= 1.0 and loop.theta2 >= 0.5 and 0.0 < loop.p22 <= 10.0
-    assert loop.admit == 1.0 and not loop.refusing
+        assert (
+            MIN_ADMIT_PROBABILITY <= loop.admit_probability <= 1.0
+            and loop.theta2 >= 0.5
+            and 0.0 < loop.p22 <= 10.0
+        )
+    assert loop.admit_probability == 1.0 and not loop.refusing
 
 
 def test_no_arrivals_admit_all() -> None:
     loop = Admission(1, 0.5)
     loop.revise(20.0, 50.0, 1)
     loop.revise(0.0, None, 1)
-    assert loop.admit == 1.0 and not loop.refusing and loop.delta == 0.0
+    assert loop.admit_probability == 1.0 and not loop.refusing and loop.delta == 0.0
 
 
 def test_long_answers_from_servers_at_ease_refuse_nobody() -> None:
@@ -83,9 +87,9 @@
     loop = Admission(2, 0.3)
     for _ in range(4):
         loop.revise(300.0, 1.4, 4, busy=0.9, through=0.8)
-        assert loop.admit >= DRAIN * 0.8
+        assert loop.admit_probability >= MIN_SHARE_OF_THROUGHPUT * 0.8
     loop.revise(300.0, 1.4, 4, busy=0.9, through=0.5)
-    assert FLOOR < loop.admit < DRAIN * 0.8
+    assert MIN_ADMIT_PROBABILITY < loop.admit_probability < MIN_SHARE_OF_THROUGHPUT * 0.8
 
 
 def test_work_is_reckoned_from_what_is_served_and_not_from_what_is_let_in() -> None:
@@ -102,10 +106,10 @@
     loop, steps = Admission(2, 0.3), list[float]()
     loop.revise(300.0, 1.4, 4, busy=0.9)
     while loop.refusing:
-        before = loop.admit
+        before = loop.admit_probability
         loop.revise(300.0, 0.4, 4, busy=0.5, through=before)
-        steps.append(loop.admit / before)
-    assert len(steps) > 1 and max(steps) <= RISE + 1e-9 and loop.admit == 1.0
+        steps.append(loop.admit_probability / before)
+    assert len(steps) > 1 and max(steps) <= MAX_RECOVERY_FACTOR + 1e-9 and loop.admit_probability == 1.0
 
 
 def test_least_worth_goes_first_and_the_mean_is_kept() -> None:
@@ -113,7 +117,7 @@
     order = SheddingOrder(Settings(classes=classes))
     order.counts = [50.0, 0.0, 50.0, 0.0]
     order.revise(0.7, 1.0, [LatencyStats(50.0, 10.0), LatencyStats(50.0, 10.0)])
-    assert order.admit[0] == 1.0 and order.admit[2] == pytest.approx(0.4)
+    assert order.admit_probability[0] == 1.0 and order.admit_probability[2] == pytest.approx(0.4)
 
 
 def test_a_flooding_tenant_is_cut_below_the_floor() -> None:
@@ -129,28 +133,28 @@
             for i in range(count):
                 order.bucket(Arrival(str(i), 0, tenant, 1.0), rng)
         order.revise(0.1, 1.0, [LatencyStats(50.0, 10.0)])
-    assert order.admit[1] == 0.0 and order.admit[0] > 0.3
+    assert order.admit_probability[1] == 0.0 and order.admit_probability[0] > 0.3
 
 
 def test_returned_retries_are_not_new_load(monkeypatch: pytest.MonkeyPatch) -> None:
     # Refused clients who return would otherwise swell the rate and drive Pa^m to its floor.
-    stand = Stand(Settings(classes=(SAFE,), max_attempts=3, clients_mark_retries=True))
+    harness = NodeHarness(Settings(classes=(SAFE,), max_attempts=3, clients_mark_retries=True))
     rates: list[float] = []
-    monkeypatch.setattr(stand.node.admission, "revise", lambda rate, *rest: rates.append(rate))
-    stand.node.period.start = 0.0
+    monkeypatch.setattr(harness.node.admission, "revise", lambda rate, *rest: rates.append(rate))
+    harness.node.period.start = 0.0
     for i in range(40):
-        for send in sends(stand.give(Arrival(f"r{i}", 0, 0, 1000.0, is_retry=i >= 10))):
-            stand.end(f"r{i}", Status.OK, send.endpoint)
-    stand.until(1000.0)
+        for send in sends(harness.handle(Arrival(f"r{i}", 0, 0, 1000.0, is_retry=i >= 10))):
+            harness.end(f"r{i}", Status.OK, send.endpoint)
+    harness.advance_to(1000.0)
     assert rates and 10.0 <= rates[0] <= 10.0 / 0.2
 
 
 def test_what_full_servers_turn_away_does_not_make_a_jam_look_quick() -> None:
     # Nothing comes back but refusals at once; counted as passing through, 200 a second beside the 20 that
     # were served would give by Little's law a tenth of the delay that the 25 which are out stand for.
-    stand = Stand(Settings(classes=(SAFE,), max_attempts=1))
+    harness = NodeHarness(Settings(classes=(SAFE,), max_attempts=1))
     for i in range(25):
-        assert sends(stand.ask(f"r{i}"))
+        assert sends(harness.ask(f"r{i}"))
     delays = []
     for full in (0, 200):
         period = Period(0.0)
@@ -158,7 +162,7 @@
             period.add(1.0, SAFE.aim_ms * 4.0, held=True)
         for _ in range(full):
             period.add(1.5, SAFE.aim_ms * 1.5, held=False)
-        delays.append(stand.node.delay(period, 1.0, 900.0))
+        delays.append(harness.node.delay(period, 1.0, 900.0))
     assert delays[0] is not None and delays[1] is not None
     assert delays[0] == pytest.approx(25 / 300.0 * 1000.0 / 20)  # out over passing through, in aims
     assert delays[1] == pytest.approx(delays[0])
--- a/tests/test_crossing_cold.py
+++ b/tests/test_cold_server_load.py
@@ -13,7 +13,7 @@
 from lupinlink.brain.health import SlowStart
 from lupinlink.interface import Endpoint, Group, Server, Settings, Status
 from lupinlink.settings import read_settings
-from tests.helpers import SAFE, Stand, sends
+from tests.helpers import SAFE, NodeHarness, sends
 
 CAPACITY, SPAN_MS = 25.0, 22000.0  # requests a second once warm; warm no later than this
 SITES = list(product((2, 3, 30, 200), (0.13, 0.3), ((3.0, 3000.0), (2.0, 2000.0), (3.0, 2000.0))))
@@ -144,23 +144,23 @@
 
     def test_light_traffic_is_served_where_all_servers_are_cold(self) -> None:
         """Danger: an even share of next to nothing earns next to nothing: all was refused for ten seconds."""
-        stand = Stand(configured(1, 0.13, 3.0, 3000.0), names="")
-        stand.members([Endpoint(name, started_ms=1.0) for name in "abcd"])
+        harness = NodeHarness(configured(1, 0.13, 3.0, 3000.0), names="")
+        harness.discover([Endpoint(name, started_ms=1.0) for name in "abcd"])
         served = 0
         for i in range(12):
-            stand.until(stand.now + 1000.0)
-            for send in sends(stand.ask(f"r{i}") + stand.until(stand.now + 250.0)):
-                stand.end(send.request_id, Status.OK, send.endpoint)
+            harness.advance_to(harness.now + 1000.0)
+            for send in sends(harness.ask(f"r{i}") + harness.advance_to(harness.now + 250.0)):
+                harness.end(send.request_id, Status.OK, send.endpoint)
                 served += 1
         self.assertGreaterEqual(served, 9)
 
     def test_repeats_need_tokens_as_well(self) -> None:
-        stand = Stand(configured(200, 0.13, 3.0, 3000.0), names="a")
-        stand.members([Endpoint("a"), Endpoint("b", started_ms=1.0)])
+        harness = NodeHarness(configured(200, 0.13, 3.0, 3000.0), names="a")
+        harness.discover([Endpoint("a"), Endpoint("b", started_ms=1.0)])
         for i in range(30):
-            for send in sends(stand.ask(f"r{i}")):
+            for send in sends(harness.ask(f"r{i}")):
                 self.assertEqual(send.endpoint, "a")
-                self.assertEqual(sends(stand.end(f"r{i}", Status.ERROR, "a")), [])
+                self.assertEqual(sends(harness.end(f"r{i}", Status.ERROR, "a")), [])
 
     def test_the_one_who_is_not_told_a_figure_takes_the_usual(self) -> None:
         self.assertEqual((Settings((SAFE,)).fall_multiple, Settings((SAFE,)).fall_ms), (3.0, 3000.0))
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -23,9 +23,10 @@
 print(*sorted(others & {n.split(".")[0] for n in sys.modules}))
 """
 PLAIN = (
-    "brain brain.admission brain.balancer brain.choice brain.concurrency brain.discovering brain.discovery "
-    "brain.discovery_answers brain.discovery_outage brain.discovery_times brain.dispatching "
-    "brain.health brain.learning brain.ready_capacity brain.repeats brain.stretch brain.waiting "
+    "brain brain.admission brain.balancer brain.concurrency brain.discovery_answers brain.discovery_node "
+    "brain.discovery_outage brain.discovery_schedule brain.discovery_times brain.dispatching brain.health "
+    "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection "
+    "brain.server_subset brain.waiting "
     "cli clock commands commands.serve commands.told errors "
     "interface limits limits.foresight limits.progress limits.returns list_trust lupinlink net "
     "net.application_servers net.application_servers.attempts net.application_servers.composing "
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -5,9 +5,9 @@
 import math
 import unittest
 
-from lupinlink.brain.concurrency import FADE_MS, LEAST_HELD, LEAST_REPORTS, ConcurrencyLimits
+from lupinlink.brain.concurrency import FADE_MS, MIN_LIMIT, MIN_REPORTS, ConcurrencyLimits
 from lupinlink.interface import Arrival, Endpoint, Group, Request, RequestClass, Send, Server, Settings
-from tests.helpers import Stand
+from tests.helpers import NodeHarness
 
 AIM_MS, WORK_MS = 350.0, 97.0
 CLASS = RequestClass(AIM_MS, 880.0)
@@ -24,7 +24,7 @@
 
     def learn(self, cores: float = 1.0) -> None:
         """What servers of that many cores tell, and answers that have waited for nobody."""
-        for _ in range(4 * LEAST_REPORTS):
+        for _ in range(4 * MIN_REPORTS):
             self.limits.report(self.server, queueing(cores + 2.0, 2.0), 0.0)
         for _ in range(200):
             self.limits.answered(queueing(0.0, 0.0), WORK_MS / AIM_MS)
@@ -37,7 +37,7 @@
         self.assertAlmostEqual(self.limits.limit(self.server), 3.6 * AIM_MS / WORK_MS - 1.0, delta=0.3)
 
     def test_nothing_is_limited_by_few_reports_or_such_that_do_not_tell_both_figures(self) -> None:
-        for _ in range(LEAST_REPORTS - 1):
+        for _ in range(MIN_REPORTS - 1):
             self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
         for report in ({"in_flight": 90.0}, {"utilization": 1.0}, {"queued": 9.0}, {}):
             self.limits.report(self.server, report, 0.0)
@@ -60,7 +60,7 @@
         self.limits.report(self.server, queueing(9.0, 1.0), 1.0)
         self.limits.answered(queueing(0.0, 0.0), 3.0)
         self.assertLess(abs(self.limits.limit(self.server) / before - 1.0), 1.0)
-        self.assertGreaterEqual(self.limits.limit(self.server), LEAST_HELD)
+        self.assertGreaterEqual(self.limits.limit(self.server), MIN_LIMIT)
 
     def test_what_it_holds_is_its_report_as_it_fades_and_the_sends_since(self) -> None:
         self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
@@ -80,14 +80,14 @@
 
 class Full(unittest.TestCase):
     def test_a_full_server_is_passed_over_and_asked_again_once_it_has_room(self) -> None:
-        stand = Stand(Settings((CLASS,), reports_in_answers=True), "ab")
-        for server in stand.node.servers.values():
-            server.group.queueing, server.group.cores = LEAST_REPORTS, 1.0
-            server.held, server.held_at = 9.0, stand.now
-        stand.node.limits.known = True
-        self.assertFalse([a for a in stand.ask("r1") if isinstance(a, Send)])
-        stand.node.servers["b"].held = 0.0
-        sent = [a.endpoint for a in stand.until(stand.now + 60.0) if isinstance(a, Send)]
+        harness = NodeHarness(Settings((CLASS,), reports_in_answers=True), "ab")
+        for server in harness.node.servers.values():
+            server.group.queueing, server.group.cores = MIN_REPORTS, 1.0
+            server.held, server.held_at = 9.0, harness.now
+        harness.node.limits.known = True
+        self.assertFalse([a for a in harness.ask("r1") if isinstance(a, Send)])
+        harness.node.servers["b"].held = 0.0
+        sent = [a.endpoint for a in harness.advance_to(harness.now + 60.0) if isinstance(a, Send)]
         self.assertEqual(sent, ["b"])
 
 
--- a/tests/test_discovery_away.py
+++ b/tests/test_discovery_outage.py
@@ -6,9 +6,9 @@
 from itertools import pairwise
 from random import Random
 
-from lupinlink.brain.discovery import DiscoverySchedule
-from lupinlink.brain.discovery_outage import AWAY_UNSEEN_CALLS
-from lupinlink.brain.discovery_times import HOLD_MOST_MS
+from lupinlink.brain.discovery_outage import OUTAGE_CALLS_NO_WATCH
+from lupinlink.brain.discovery_schedule import DiscoverySchedule
+from lupinlink.brain.discovery_times import MAX_HOLD_MS
 from lupinlink.interface import DiscoveryCallFailed, DiscoveryWatchEnded, Settings
 from tests.discovery_drive import ROUNDING_MS, drive
 from tests.drain_script import Away, Change, OutageOf, Restart, Script
@@ -55,7 +55,7 @@
         # It has seen no watch end, so two late failures may be those of a crowded discovery.
         for peers in (40, 200):
             script = Script((Change(12000.0),), (OUTAGE,), restarts=(Restart(13000.0),), peers=peers)
-            self.serves_on(script, HOLD_MOST_MS + ROUNDING_MS)
+            self.serves_on(script, MAX_HOLD_MS + ROUNDING_MS)
 
 
 class Planned:
@@ -85,7 +85,7 @@
     planned.schedule.started(0.0)
     planned.fail_until(7000.0)
     begun = [at for at in planned.called if at < 4600.0]
-    assert len(begun) >= planned.schedule.times.away_calls - 1, begun
+    assert len(begun) >= planned.schedule.times.outage_calls - 1, begun
 
 
 def test_calls_are_made_one_after_the_other_once_discovery_is_taken_for_away() -> None:
@@ -143,7 +143,7 @@
             now += HEAD_EVERY_MS
             schedule.call_answered(now)
             held.append(schedule.holds(now))
-        longest = times.hold_most_ms + times.hold_longer_ms
+        longest = times.max_hold_ms + times.hold_extension_ms
         assert longest - 2 * HEAD_EVERY_MS <= sum(held) * HEAD_EVERY_MS <= longest + HEAD_EVERY_MS, peers
         assert not held[-1]
 
@@ -155,20 +155,20 @@
     for number, failure in enumerate(failures):
         schedule.call_failed(float(number), failure)
         assert schedule.holds(float(number))
-    for number in range(AWAY_UNSEEN_CALLS):
+    for number in range(OUTAGE_CALLS_NO_WATCH):
         assert schedule.holds(99.0 + number)
         schedule.call_failed(100.0 + number, ENDED_LATE)
-    assert not schedule.holds(100.0 + AWAY_UNSEEN_CALLS)
+    assert not schedule.holds(100.0 + OUTAGE_CALLS_NO_WATCH)
 
 
 def test_calls_that_are_never_answered_are_no_outage_so_soon() -> None:
     schedule = Planned(peers=200).schedule
     schedule.watch_ended(0.0, DiscoveryWatchEnded(heard_at=0.0, silent=False))
     held_at = schedule.times.hold_after_ms + 1.0
-    for number in range(AWAY_UNSEEN_CALLS):
+    for number in range(OUTAGE_CALLS_NO_WATCH):
         assert schedule.holds(held_at + number)
         schedule.call_failed(held_at + number, UNANSWERED)
-    assert not schedule.holds(held_at + AWAY_UNSEEN_CALLS)
+    assert not schedule.holds(held_at + OUTAGE_CALLS_NO_WATCH)
 
 
 def test_part_of_an_object_counts_though_the_rest_never_comes() -> None:
--- a/tests/test_discovery_times.py
+++ b/tests/test_discovery_times.py
@@ -6,8 +6,8 @@
 from itertools import pairwise
 from random import Random
 
-from lupinlink.brain.discovery import DiscoverySchedule
-from lupinlink.brain.discovery_times import PAUSE_MS, TOLD_MS, DiscoveryTimes
+from lupinlink.brain.discovery_schedule import DiscoverySchedule
+from lupinlink.brain.discovery_times import NOTIFIED_AFTER_MS, PAUSE_MS, DiscoveryTimes
 from lupinlink.interface import Settings
 from tests.helpers import SAFE
 
@@ -29,18 +29,18 @@
 
     def test_a_call_without_an_answer_the_wait_and_a_call_that_delivers_fit(self) -> None:
         for settings, times in self.all():
-            self.assertLess(times.failed_call_chain_ms(), TOLD_MS - PAUSE_MS, settings)
+            self.assertLess(times.failed_call_chain_ms(), NOTIFIED_AFTER_MS - PAUSE_MS, settings)
 
     def test_a_silent_watch_a_dial_that_never_comes_up_and_a_call_that_delivers_fit(self) -> None:
         for settings, times in self.all():
-            self.assertLess(times.silent_watch_chain_ms(), TOLD_MS - PAUSE_MS, settings)
+            self.assertLess(times.silent_watch_chain_ms(), NOTIFIED_AFTER_MS - PAUSE_MS, settings)
 
     def test_the_list_is_no_longer_relied_on_before_changes_count_as_told(self) -> None:
         for settings, times in self.all():
-            latest = min(TOLD_MS, settings.must_ask_ms) if settings.subscribe else TOLD_MS
+            latest = min(NOTIFIED_AFTER_MS, settings.must_ask_ms) if settings.subscribe else NOTIFIED_AFTER_MS
             self.assertLessEqual(times.hold_after_ms + PAUSE_MS, latest, settings)
             self.assertLessEqual(times.start_hold_after_ms, times.hold_after_ms, settings)
-            self.assertGreater(times.hold_most_ms, 0.0)
+            self.assertGreater(times.max_hold_ms, 0.0)
 
     def test_a_new_process_relies_on_no_list_until_discovery_has_told(self) -> None:
         for settings, times in self.all():
@@ -48,11 +48,11 @@
             if settings.subscribe:
                 schedule.started(0.0)
             schedule.restarted(0.0)
-            for at in (0.0, times.hold_most_ms / 2, times.hold_most_ms - 1.0):
+            for at in (0.0, times.max_hold_ms / 2, times.max_hold_ms - 1.0):
                 self.assertTrue(schedule.holds(at), settings)
-            schedule.call_due(times.first_call_ms + 1.0)
-            schedule.confirmed(times.first_call_ms + 2.0)
-            self.assertFalse(schedule.holds(times.first_call_ms + 3.0), settings)
+            schedule.call_due(times.first_call_spread_ms + 1.0)
+            schedule.confirmed(times.first_call_spread_ms + 2.0)
+            self.assertFalse(schedule.holds(times.first_call_spread_ms + 3.0), settings)
 
     def test_a_larger_fleet_never_calls_sooner(self) -> None:
         for must_ask_ms in MUST_ASK_MS:
@@ -61,9 +61,9 @@
                 for peers in PEERS
             ]
             for less, more in pairwise(pairs):
-                self.assertLessEqual(less.first_call_ms, more.first_call_ms)
-                self.assertLessEqual(less.wait_most_ms, more.wait_most_ms)
-                self.assertLessEqual(less.beside_ms, more.beside_ms)
+                self.assertLessEqual(less.first_call_spread_ms, more.first_call_spread_ms)
+                self.assertLessEqual(less.max_backoff_ms, more.max_backoff_ms)
+                self.assertLessEqual(less.parallel_call_after_ms, more.parallel_call_after_ms)
 
 
 if __name__ == "__main__":
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lupinlink.brain.choice import TABLE_MS
+from lupinlink.brain.server_selection import WEIGHTS_INTERVAL_MS
 from lupinlink.interface import Arrival, Endpoint, EndpointState, Refuse, Settings, Status
 from lupinlink.limits.foresight import BEARS, COLD_KEYS, LAG_GAIN, LEAST, Foresight
-from tests.helpers import SAFE, Stand, sends
+from tests.helpers import SAFE, NodeHarness, sends
 
 FARM = "abcdefgh"
 
@@ -58,51 +58,51 @@
     assert foresight.bears(left) <= foresight.bears(left + 1.0)
 
 
-def at_work(use: float | None) -> Stand:
+def at_work(use: float | None) -> NodeHarness:
     """A node whose farm of eight has served two seconds at that reported use."""
-    stand = Stand(Settings(classes=(SAFE,), max_attempts=3, reports_in_answers=True), FARM)
+    harness = NodeHarness(Settings(classes=(SAFE,), max_attempts=3, reports_in_answers=True), FARM)
     for i in range(100):
-        stand.until(20.0 * i)
-        for send in sends(stand.ask(f"w{i}")):
+        harness.advance_to(20.0 * i)
+        for send in sends(harness.ask(f"w{i}")):
             report = {"utilization": use} if use is not None else None
-            stand.end(f"w{i}", Status.OK, send.endpoint, report=report)
-    return stand
+            harness.end(f"w{i}", Status.OK, send.endpoint, report=report)
+    return harness
 
 
-def refused(stand: Stand, count: int = 200) -> float:
+def refused(harness: NodeHarness, count: int = 200) -> float:
     """The share that is turned away on arrival, with nothing answered meanwhile."""
-    actions = [stand.give(Arrival(f"n{i}", 0, 0, stand.now + 1000.0)) for i in range(count)]
+    actions = [harness.handle(Arrival(f"n{i}", 0, 0, harness.now + 1000.0)) for i in range(count)]
     return sum(any(isinstance(a, Refuse) for a in some) for some in actions) / count
 
 
-def drain(stand: Stand, names: str) -> None:
+def drain(harness: NodeHarness, names: str) -> None:
     state = {name: EndpointState.DRAINING if name in names else EndpointState.READY for name in FARM}
-    stand.members([Endpoint(name, state=state[name]) for name in FARM])
+    harness.discover([Endpoint(name, state=state[name]) for name in FARM])
 
 
 @pytest.mark.parametrize(("use", "gone", "share"), [(0.6, "abcd", 0.29), (0.6, "a", 0.0), (0.3, "abcd", 0.0)])
 def test_half_a_farm_that_drains_is_answered_for_at_once(use: float, gone: str, share: float) -> None:
-    stand = at_work(use)
-    assert refused(stand, 20) == 0.0
-    drain(stand, gone)
-    assert refused(stand) == pytest.approx(share, abs=0.1)  # 1 - 0.85 * 4 / 4.8 where half has gone
+    harness = at_work(use)
+    assert refused(harness, 20) == 0.0
+    drain(harness, gone)
+    assert refused(harness) == pytest.approx(share, abs=0.1)  # 1 - 0.85 * 4 / 4.8 where half has gone
 
 
 def test_without_reports_nothing_is_foreseen() -> None:
-    stand = at_work(None)
-    drain(stand, "abcd")
-    assert refused(stand) == 0.0
+    harness = at_work(None)
+    drain(harness, "abcd")
+    assert refused(harness) == 0.0
 
 
 def test_servers_that_nobody_reaches_count_as_gone() -> None:
-    stand = at_work(0.6)
+    harness = at_work(0.6)
     for i in range(200):
         request, attempt = f"d{i}", 0
-        out = sends(stand.ask(request))
+        out = sends(harness.ask(request))
         while out and out[0].endpoint in "abcd":
-            out = sends(stand.end(request, Status.UNREACHABLE, out[0].endpoint, attempt))
+            out = sends(harness.end(request, Status.UNREACHABLE, out[0].endpoint, attempt))
             attempt += 1
         if out:
-            stand.end(request, Status.OK, out[0].endpoint, attempt)
-    stand.until(stand.now + TABLE_MS)
-    assert refused(stand) == pytest.approx(0.29, abs=0.1)
+            harness.end(request, Status.OK, out[0].endpoint, attempt)
+    harness.advance_to(harness.now + WEIGHTS_INTERVAL_MS)
+    assert refused(harness) == pytest.approx(0.29, abs=0.1)
--- a/tests/test_recent_use.py
+++ b/tests/test_recent_use.py
@@ -7,7 +7,7 @@
 
 from lupinlink.interface import Endpoint, Settings, Status
 from lupinlink.spread.recent_use import MOST_REMEMBERED, RecentUse
-from tests.helpers import SAFE, Stand, sends
+from tests.helpers import SAFE, NodeHarness, sends
 
 USUAL, MANY = 200, 3200
 MOST_CONNECTIONS = 2.5  # times as many as with the usual number of servers
@@ -30,16 +30,16 @@
 
 def connections(servers: int, per_second: float, seconds: float) -> int:
     """How many a node makes whose requests take 20 ms each."""
-    stand = Stand(Settings(classes=(SAFE,), peers=6), "")
-    stand.now = 1e12
-    stand.members([Endpoint(f"s-{i}") for i in range(servers)])
+    harness = NodeHarness(Settings(classes=(SAFE,), peers=6), "")
+    harness.now = 1e12
+    harness.discover([Endpoint(f"s-{i}") for i in range(servers)])
     used_at, made = dict[str, float](), 0
     for number in range(int(per_second * seconds)):
-        (send,) = sends(stand.ask(str(number)))
-        made += stand.now - used_at.get(send.endpoint, 0.0) > REST_MS
-        stand.until(stand.now + 1000.0 / per_second)
-        stand.end(str(number), Status.OK, send.endpoint)
-        used_at[send.endpoint] = stand.now
+        (send,) = sends(harness.ask(str(number)))
+        made += harness.now - used_at.get(send.endpoint, 0.0) > REST_MS
+        harness.advance_to(harness.now + 1000.0 / per_second)
+        harness.end(str(number), Status.OK, send.endpoint)
+        used_at[send.endpoint] = harness.now
     return made
 
 
@@ -51,13 +51,13 @@
 
 
 def test_all_of_many_servers_are_used_in_the_long_run() -> None:
-    stand = Stand(Settings(classes=(SAFE,), peers=6), "")
-    stand.now = 1e12
-    stand.members([Endpoint(f"s-{i}") for i in range(600)])
+    harness = NodeHarness(Settings(classes=(SAFE,), peers=6), "")
+    harness.now = 1e12
+    harness.discover([Endpoint(f"s-{i}") for i in range(600)])
     used = Counter[str]()
     for number in range(12000):
-        (send,) = sends(stand.ask(str(number)))
+        (send,) = sends(harness.ask(str(number)))
         used[send.endpoint] += 1
-        stand.until(stand.now + 20.0)
-        stand.end(str(number), Status.OK, send.endpoint)
+        harness.advance_to(harness.now + 20.0)
+        harness.end(str(number), Status.OK, send.endpoint)
     assert len(used) == 600 and max(used.values()) < 3 * 12000 / 600
--- a/tests/test_split.py
+++ b/tests/test_server_selection.py
@@ -8,21 +8,21 @@
 
 import pytest
 
-from lupinlink.brain.choice import FADE_MS, LATENCY, REPORT, TABLE_MS, Split
 from lupinlink.brain.health import SlowStart
+from lupinlink.brain.server_selection import FADE_MS, LATENCY, REPORT, WEIGHTS_INTERVAL_MS, ServerSelector
 from lupinlink.interface import Endpoint, EndpointState, Group, MembershipKind, Server, Settings
 from lupinlink.node import Node
 from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
-from tests.helpers import SAFE, Stand
+from tests.helpers import SAFE, NodeHarness
 
 
-def make(count: int = 4, seed: int = 1) -> tuple[Split, Node]:
+def make(count: int = 4, seed: int = 1) -> tuple[ServerSelector, Node]:
     settings = Settings(classes=(SAFE,))
-    node = Stand(settings, names="abcdefghij"[:count], seed=seed).node
-    return node.split, node
+    node = NodeHarness(settings, names="abcdefghij"[:count], seed=seed).node
+    return node.selector, node
 
 
-def draw(split: Split, node: Node, now: float, count: int = 4000) -> Counter[str]:
+def draw(split: ServerSelector, node: Node, now: float, count: int = 4000) -> Counter[str]:
     split.due_at = -math.inf
     picked = (split.pick(now, node, "", lambda s: True) for _ in range(count))
     return Counter(s.row.name for s in picked if s is not None)
@@ -82,12 +82,12 @@
 
 def test_remote_zone_by_price() -> None:
     settings = Settings(classes=(SAFE,), zone=0, cross_zone_price=0.12)
-    stand = Stand(settings, names="")
-    stand.members([Endpoint("a", zone=0), Endpoint("b", zone=1)])
-    split = stand.node.split
-    calm = draw(split, stand.node, 0.0)["b"]
+    harness = NodeHarness(settings, names="")
+    harness.discover([Endpoint("a", zone=0), Endpoint("b", zone=1)])
+    split = harness.node.selector
+    calm = draw(split, harness.node, 0.0)["b"]
     split.spill = 1.0
-    assert calm < 300 < 1500 < draw(split, stand.node, 0.0)["b"]
+    assert calm < 300 < 1500 < draw(split, harness.node, 0.0)["b"]
 
 
 def test_a_cold_server_has_a_budget() -> None:
@@ -109,15 +109,17 @@
 def test_a_key_meets_the_same_server_at_every_node_and_all_keys_together_the_weights() -> None:
     # Its data are warm there; a random server would do the whole work anew.
     settings = Settings(classes=(SAFE,), warm_keys=True)
-    stands = [Stand(settings, "abcdefgh", seed) for seed in (1, 2)]
-    nodes = [stand.node for stand in stands]
-    met = [[n.split.pick(0.0, n, f"k{i}", lambda s: True) for i in range(800)] for n in nodes]
+    harnesses = [NodeHarness(settings, "abcdefgh", seed) for seed in (1, 2)]
+    nodes = [harness.node for harness in harnesses]
+    met = [[n.selector.pick(0.0, n, f"k{i}", lambda s: True) for i in range(800)] for n in nodes]
     names = [[s.row.name if s else "" for s in each] for each in met]
     assert names[0] == names[1]
     assert all(60 <= count <= 140 for count in Counter(names[0]).values())
-    stands[0].members([Endpoint("a", state=EndpointState.GONE)], MembershipKind.DELTA)  # others keep theirs
+    harnesses[0].discover(
+        [Endpoint("a", state=EndpointState.GONE)], MembershipKind.DELTA
+    )  # others keep theirs
     after = [
-        s.row.name if (s := nodes[0].split.pick(0.0, nodes[0], f"k{i}", lambda s: True)) else ""
+        s.row.name if (s := nodes[0].selector.pick(0.0, nodes[0], f"k{i}", lambda s: True)) else ""
         for i in range(800)
     ]
     assert all(x == y for x, y in zip(names[0], after, strict=True) if x != "a") and "a" not in after
@@ -126,7 +128,7 @@
 def test_the_way_to_another_zone_is_not_taken_for_load_or_size() -> None:
     # Taken for a small server, the other zone stood idle while this one was overrun.
     settings = Settings(classes=(SAFE,), zone=0, reports_in_answers=True)
-    split = Stand(settings, "").node.split
+    split = NodeHarness(settings, "").node.selector
     near, far = (Server(Endpoint(n, zone=z), 0.0, Group(0.0), ready=True) for n, z in (("a", 0), ("b", 1)))
     for i in range(1500):
         for server, figure in ((near, 1.0), (far, 1.8)):
@@ -162,29 +164,29 @@
 def test_outside_its_stretch_a_proxy_asks_warm_servers_only() -> None:
     # All tokens of the stretch are spent; what it earns there is many times the fleet's share elsewhere.
     settings = Settings(classes=(SAFE,), peers=200, rank=7, cold_share=0.2, cold_ms=1e6)
-    node = Stand(settings, names="".join(map(chr, range(0x4E00, 0x4E00 + 200)))).node
-    split = node.split
+    node = NodeHarness(settings, names="".join(map(chr, range(0x4E00, 0x4E00 + 200)))).node
+    split = node.selector
     assert split.pick(2.0, node, "", lambda s: True) in split.table and len(split.table) == 32
     near = {s.row.name for s in split.table}
     for server in node.servers.values():
         server.row.started_ms = 1.0
     assert split.pick(2.0, node, "", lambda s: s.row.name not in near) is None
-    assert list(split.not_drawn(2.0))[1] == []
+    assert list(split.fallback_candidates(2.0))[1] == []
     far = next(s for s in node.servers.values() if s.row.name not in near)
     far.row.started_ms = 0.0
-    assert list(split.not_drawn(2.0))[1] == [far]
+    assert list(split.fallback_candidates(2.0))[1] == [far]
 
 
 # Guards against weights that are never revised because looks for a free server take the table's turns.
 def test_all_of_many_weights_are_revised_in_turn_while_requests_look_for_a_server() -> None:
-    stand = Stand(Settings(classes=(SAFE,), peers=6), "")
-    stand.members([Endpoint(f"s-{i}") for i in range(4096)])
-    split = stand.node.split
+    harness = NodeHarness(Settings(classes=(SAFE,), peers=6), "")
+    harness.discover([Endpoint(f"s-{i}") for i in range(4096)])
+    split = harness.node.selector
     split.refresh(0.0)
-    for server in stand.node.servers.values():
+    for server in harness.node.servers.values():
         server.failing = 0.5
     for turn in range(1, 4096 // MOST_IN_BUCKET + 1):
-        split.refresh(turn * TABLE_MS)
+        split.refresh(turn * WEIGHTS_INTERVAL_MS)
         for _ in range(3):
-            assert sum(map(len, split.not_drawn(turn * TABLE_MS))) > 0
+            assert sum(map(len, split.fallback_candidates(turn * WEIGHTS_INTERVAL_MS))) > 0
     assert sum(split.table.weight(server) < 0.5 for server in split.table) == 4096
--- a/tests/test_crossing_settings.py
+++ b/tests/test_settings_variants.py
@@ -21,8 +21,8 @@
     Status,
 )
 from lupinlink.settings import read_settings
-from tests.helpers import Stand, sends
-from tests.other_settings import ELSEWHERE
+from tests.helpers import NodeHarness, sends
+from tests.settings_variants import ELSEWHERE
 from tests.stage import ApplicationServer, Stage, row
 
 SLACK_MS = 20.0  # of an answer after the client's deadline
@@ -45,10 +45,10 @@
 
     def __init__(self, settings: Settings, zones: int, case: unittest.TestCase) -> None:
         self.settings, self.case, self.rng = settings, case, Random(7)
-        self.stand = Stand(settings, names="", seed=3)
+        self.harness = NodeHarness(settings, names="", seed=3)
         self.rows = {n: Endpoint(n, zone=i % zones, cell=i // 3) for i, n in enumerate("abcdefgh")}
         self.rows["h"].started_ms = 1.0  # cold
-        self.stand.members(list(self.rows.values()))
+        self.harness.discover(list(self.rows.values()))
         self.asked: dict[str, Try] = {}
         self.due: list[tuple[float, int, str, int, Status]] = []
         self.numbers, self.served_at, self.ends = iter(range(1 << 30)), 0.0, Counter[str]()
@@ -67,7 +67,7 @@
             self.asked[name] = Try(cls, now + patience)
             tenant = self.rng.randrange(2) if self.settings.tenants else 0
             self.take(
-                self.stand.give(api.Arrival(name, index, tenant, now + patience, key=f"k{number % 40}"))
+                self.harness.handle(api.Arrival(name, index, tenant, now + patience, key=f"k{number % 40}"))
             )
             self.case.assertLess(now - self.served_at, STILL_MS + cls.deadline_ms, "nothing was served")
         self.until(now + max(c.deadline_ms for c in self.settings.classes) + 100.0)
@@ -76,20 +76,20 @@
     def until(self, time: float) -> None:
         """Outcomes, timers and the ends of patience, in the order of their times."""
         while True:
-            timer = min(self.stand.timers)[0] if self.stand.timers else time + 1.0
+            timer = min(self.harness.timers)[0] if self.harness.timers else time + 1.0
             outcome = self.due[0][0] if self.due else time + 1.0
             call = self.calls[0] if self.calls else time + 1.0
             if min(timer, outcome, call) > time:
                 break
             if call < min(timer, outcome):
-                self.stand.now = max(self.stand.now, self.calls.pop(0))
-                self.take(self.stand.members([], MembershipKind.DELTA))
+                self.harness.now = max(self.harness.now, self.calls.pop(0))
+                self.take(self.harness.discover([], MembershipKind.DELTA))
             elif timer <= outcome:
-                self.take(self.stand.until(timer))
+                self.take(self.harness.advance_to(timer))
             else:
-                self.stand.now = max(self.stand.now, outcome)
+                self.harness.now = max(self.harness.now, outcome)
                 self.end(*heapq.heappop(self.due))
-        self.stand.until(time)
+        self.harness.advance_to(time)
 
     def end(self, at: float, _: int, name: str, attempt: int, status: Status) -> None:
         one = self.asked[name]
@@ -103,19 +103,19 @@
             self.served_at = at
         report = {"utilization": 0.5} if self.settings.reports_in_answers and status == Status.OK else None
         ended = api.Outcome(name, status, at - sent_at, attempt, bool(one.answers), server, report)
-        self.take(self.stand.give(ended))
+        self.take(self.harness.handle(ended))
 
     def answered(self, one: Try, how: str) -> None:
         one.answers += 1
         self.ends[how] += 1
-        self.case.assertLessEqual(self.stand.now, one.deadline + SLACK_MS, "answered late")
+        self.case.assertLessEqual(self.harness.now, one.deadline + SLACK_MS, "answered late")
 
     def take(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Send):
                 self.send(action)
             elif isinstance(action, api.Subscribe):
-                self.calls.append(self.stand.now + CALL_MS)
+                self.calls.append(self.harness.now + CALL_MS)
             elif isinstance(action, api.Refuse):
                 one = self.asked[action.request_id]
                 free = one.cls.effect == Effect.SAFE or (
@@ -128,12 +128,12 @@
                 self.answered(self.asked[action.request_id], "failed")
             elif isinstance(action, api.Cancel):
                 self.case.assertTrue(self.settings.may_cancel)
-                self.push(self.stand.now + 0.1, action.request_id, action.attempt, Status.CANCELLED)
+                self.push(self.harness.now + 0.1, action.request_id, action.attempt, Status.CANCELLED)
             elif isinstance(action, api.Probe):
                 self.case.assertTrue(self.settings.may_probe)
 
     def send(self, action: api.Send) -> None:
-        one, now = self.asked[action.request_id], self.stand.now
+        one, now = self.asked[action.request_id], self.harness.now
         row = self.rows[action.endpoint]
         self.case.assertEqual(one.answers, 0, "sent on after its answer")
         self.case.assertLess(len(one.sent), self.settings.max_attempts)
@@ -177,11 +177,11 @@
     def test_who_has_little_patience_is_not_turned_away_on_a_guess(self) -> None:
         """Danger: what answers take is guessed from the aim; where nothing is sent, nothing is learnt."""
         for aim in (2000.0, 9000.0, 60000.0):
-            stand = Stand(Settings(classes=(RequestClass(aim, 60000.0, effect=Effect.SAFE),)), "ab")
+            harness = NodeHarness(Settings(classes=(RequestClass(aim, 60000.0, effect=Effect.SAFE),)), "ab")
             for i in range(200):
-                (out,) = sends(stand.ask(f"r{i}", left=300.0))
-                stand.until(stand.now + 20.0)
-                stand.end(f"r{i}", Status.OK, out.endpoint)
+                (out,) = sends(harness.ask(f"r{i}", left=300.0))
+                harness.advance_to(harness.now + 20.0)
+                harness.end(f"r{i}", Status.OK, out.endpoint)
 
     def test_an_aim_beyond_the_deadline_is_the_deadline(self) -> None:
         for aim, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_fleet.py
@@ -7,7 +7,7 @@
 
 from lupinlink.brain.health import SlowStart
 from lupinlink.interface import Endpoint, Group, Server, Settings
-from tests.helpers import SAFE, Stand
+from tests.helpers import SAFE, NodeHarness
 
 
 class Cold(unittest.TestCase):
@@ -21,9 +21,9 @@
             slow = SlowStart(settings)
             slow.per_server = 0.8 * capacity / proxies / 1000.0
             row = Endpoint("a", started_ms=1.0)
-            stand = Stand(settings, seed=seed)
+            harness = NodeHarness(settings, seed=seed)
             server = Server(row, 1.0, Group(1.0))
-            stand.node.listed(server)  # draws its first token
+            harness.node.listed(server)  # draws its first token
             for now in range(1, int(span), 20):
                 if slow.allows(server, float(now)):
                     server.tokens -= 1.0
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -21,7 +21,7 @@
 )
 from lupinlink.net.lists import MAX_LIST, ListError, Objects
 from tests import test_reload
-from tests.helpers import SAFE, Stand
+from tests.helpers import SAFE, NodeHarness
 from tests.stage import WAIT, ApplicationServer, Stage, chunk, listing, row
 
 TOLD_MS = 300.0  # a server has to be left alone so long after the news, the slack of sockets included
@@ -47,10 +47,10 @@
         for must_ask in (4000.0, 10000.0, 60000.0):
             firsts = []
             for rank in range(200):
-                stand = Stand(Settings((SAFE,), (), 0, 200, rank, True, must_ask), seed=rank)
-                while not any(isinstance(action, Subscribe) for action in stand.log):
-                    stand.until(min(stand.timers)[0])
-                firsts.append(stand.now)
+                harness = NodeHarness(Settings((SAFE,), (), 0, 200, rank, True, must_ask), seed=rank)
+                while not any(isinstance(action, Subscribe) for action in harness.log):
+                    harness.advance_to(min(harness.timers)[0])
+                firsts.append(harness.now)
             self.assertLess(max(firsts), min(must_ask / 2, ALL_TOLD_MS - CALL_MS))
             self.assertGreater(max(firsts), 0.3 * min(must_ask, ALL_TOLD_MS))  # and yet they are no herd
             # Nor do any hundred of them, as they are killed, crowd in: a call that waits for 2 s fails, and
@@ -62,74 +62,74 @@
                     self.assertLess(crowd, len(killed) / 7.5 * 1.5)
 
     @staticmethod
-    def started(peers: int = 200) -> Stand:
-        return Stand(Settings(classes=(SAFE,), subscribe=True, must_ask_ms=10000.0, peers=peers))
+    def started(peers: int = 200) -> NodeHarness:
+        return NodeHarness(Settings(classes=(SAFE,), subscribe=True, must_ask_ms=10000.0, peers=peers))
 
     def test_a_new_process_that_was_told_nothing_in_time_holds_its_requests_for_a_while(self) -> None:
         # herd+mass 7: discovery had too many callers, and answered the last first calls 5.6 s after a start.
-        stand = self.started()
-        stand.until(3149.0)
-        self.assertEqual(self.sends(stand.ask("before", left=900.0)), 1)
-        stand.members([], MembershipKind.FAILED)  # a call that failed tells nothing
-        stand.until(3151.0)
-        self.assertEqual(self.sends(stand.ask("held", left=900.0)), 0)
-        self.assertEqual(self.sends(stand.until(stand.node.discovery.call_at - 50.0)), 0)
-        self.assertEqual(self.sends(stand.ask("still held", left=900.0)), 0)
-        while not self.calls(stand.until(min(stand.timers)[0])):
+        harness = self.started()
+        harness.advance_to(3149.0)
+        self.assertEqual(self.sends(harness.ask("before", left=900.0)), 1)
+        harness.discover([], MembershipKind.FAILED)  # a call that failed tells nothing
+        harness.advance_to(3151.0)
+        self.assertEqual(self.sends(harness.ask("held", left=900.0)), 0)
+        self.assertEqual(self.sends(harness.advance_to(harness.node.discovery.call_at - 50.0)), 0)
+        self.assertEqual(self.sends(harness.ask("still held", left=900.0)), 0)
+        while not self.calls(harness.advance_to(min(harness.timers)[0])):
             pass
-        told = stand.members([Endpoint("b", state=EndpointState.DRAINING)], MembershipKind.DELTA)
+        told = harness.discover([Endpoint("b", state=EndpointState.DRAINING)], MembershipKind.DELTA)
         sent = [action for action in told if isinstance(action, Send)]
         self.assertEqual([(send.request_id, send.endpoint != "b") for send in sent], [("still held", True)])
 
     def test_a_small_fleet_whose_first_calls_should_be_answered_by_then_holds_sooner(self) -> None:
-        stand = self.started(peers=5)
-        stand.until(1499.0)
-        self.assertEqual(self.sends(stand.ask("before", left=900.0)), 1)
-        stand.until(1501.0)
-        self.assertEqual(self.sends(stand.ask("held", left=20.0)), 0)
+        harness = self.started(peers=5)
+        harness.advance_to(1499.0)
+        self.assertEqual(self.sends(harness.ask("before", left=900.0)), 1)
+        harness.advance_to(1501.0)
+        self.assertEqual(self.sends(harness.ask("held", left=20.0)), 0)
 
     def test_holding_ends_where_discovery_turns_every_call_away_and_in_any_case(self) -> None:
         dark = self.started()
-        dark.until(4000.0)
-        dark.members([], MembershipKind.FAILED)
-        dark.until(5001.0)
+        dark.advance_to(4000.0)
+        dark.discover([], MembershipKind.FAILED)
+        dark.advance_to(5001.0)
         self.assertEqual(self.sends(dark.ask("held", left=20.0)), 0)
-        dark.members([], MembershipKind.FAILED)  # and it is no single failure
+        dark.discover([], MembershipKind.FAILED)  # and it is no single failure
         self.assertEqual(self.sends(dark.ask("served", left=900.0)), 1)
         mute = self.started()
-        mute.until(15149.0)
+        mute.advance_to(15149.0)
         self.assertEqual(self.sends(mute.ask("held", left=20.0)), 0)
-        mute.until(15151.0)
+        mute.advance_to(15151.0)
         self.assertEqual(self.sends(mute.ask("served", left=900.0)), 1)
 
     def test_a_subscription_that_dropped_on_the_simulator_is_followed_by_a_call(self) -> None:
         # There the same event tells that a call has failed and that a subscription is over.
         for peers in (5, 200):
-            stand = self.started(peers)
-            while not self.calls(stand.until(min(stand.timers)[0])):
+            harness = self.started(peers)
+            while not self.calls(harness.advance_to(min(harness.timers)[0])):
                 pass
             for _ in range(3):
-                stand.members([Endpoint("a")])
-                self.assertEqual(self.calls(stand.until(stand.now + 60000.0)), 0)
-                stand.members([], MembershipKind.FAILED)
-                self.assertEqual(self.calls(stand.until(stand.now + 1000.0)), 1)
+                harness.discover([Endpoint("a")])
+                self.assertEqual(self.calls(harness.advance_to(harness.now + 60000.0)), 0)
+                harness.discover([], MembershipKind.FAILED)
+                self.assertEqual(self.calls(harness.advance_to(harness.now + 1000.0)), 1)
 
     def test_a_wait_and_a_call_fit_in_that_time_however_many_have_failed(self) -> None:
         for must_ask in (4000.0, 10000.0, 60000.0):
             settings = Settings(classes=(SAFE,), subscribe=True, must_ask_ms=must_ask, peers=200)
             waits = []
             for seed in range(20):
-                stand = Stand(settings, seed=seed)
+                harness = NodeHarness(settings, seed=seed)
                 for _ in range(10):
-                    stand.until(stand.now + 60000.0)
-                    before = stand.now
-                    self.assertEqual(self.calls(stand.until(before + 1.0)), 0)
-                    stand.members([], MembershipKind.FAILED)
-                    while not self.calls(stand.until(min(stand.timers)[0])):
+                    harness.advance_to(harness.now + 60000.0)
+                    before = harness.now
+                    self.assertEqual(self.calls(harness.advance_to(before + 1.0)), 0)
+                    harness.discover([], MembershipKind.FAILED)
+                    while not self.calls(harness.advance_to(min(harness.timers)[0])):
                         pass
-                    waits.append(stand.now - before)
-                    self.assertEqual(self.calls(stand.until(before + 5001.0)), 0)  # one, and no more
-            given_up = DiscoveryTimes.of(settings).answer_ms
+                    waits.append(harness.now - before)
+                    self.assertEqual(self.calls(harness.advance_to(before + 5001.0)), 0)  # one, and no more
+            given_up = DiscoveryTimes.of(settings).answer_timeout_ms
             self.assertLess(max(waits) + given_up + CALL_MS, ALL_TOLD_MS - GRACE_MS)  # and one that delivers
             self.assertGreater(max(waits), 2.0 * min(waits))  # drawn, and no storm
             self.assertGreater(min(waits), 200.0)
