--- a/lupinlink/brain/discovery_node.py
+++ b/lupinlink/brain/discovery_node.py
@@ -47,7 +47,7 @@
 
     def list_news(self, event: Membership, now: float) -> None:
         """Act at once on what changed."""
-        self.selector.due_at = now
+        self.selector.weights_due_at = now
         if event.kind == MembershipKind.FAILED:
             self.discovery_news(self.ended_on_the_simulator(now), now)
         elif event.kind != MembershipKind.CACHED and event.current:
--- a/lupinlink/brain/dispatching.py
+++ b/lupinlink/brain/dispatching.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from lupinlink.brain.discovery_node import DiscoveryNode
-from lupinlink.brain.health import MAX_EJECTED
+from lupinlink.brain.health import MAX_EJECTED_SHARE
 from lupinlink.brain.retry_rules import begin_by, bound_to_cell, may_follow, may_follow_anywhere, may_refuse
 from lupinlink.brain.server_selection import LATENCY, OVERDUE_GAIN
 from lupinlink.brain.waiting import WaitingFor, WaitingRequest, WaitingRequests
@@ -31,7 +31,7 @@
         self.release_at = math.inf  # when the hold is looked at next
         self.look_at = math.inf  # when those that wait for a backend are looked at next
 
-    def again(self, request: Request, now: float, cost: bool = True) -> bool:
+    def may_retry(self, request: Request, now: float, cost: bool = True) -> bool:
         """Whether another attempt can still be useful and the budget lasts."""
         raise NotImplementedError
 
@@ -147,7 +147,7 @@
 
     def worth_waiting_until(self, request: Request) -> float:
         """So long may a request wait for a server; then its answer would be worth nothing or too late."""
-        return min(request.arrival.deadline - ANSWER_MARGIN_MS, self.limits.latest_begin(request))
+        return min(request.arrival.deadline - ANSWER_MARGIN_MS, self.limits.latest_useful_send(request))
 
     def waited(self, waiting: WaitingRequest, now: float) -> None:
         """The time of a wait is over."""
@@ -233,10 +233,10 @@
         server.silent += first * quiet
         hangs = quiet and (server.silent >= SILENT_MOST or (server.trial and not first))
         if hangs:
-            self.eject(server, now, MAX_EJECTED * self.ready)
+            self.eject(server, now, MAX_EJECTED_SHARE * self.ready)
         if hangs or age > stats.mean + LOST_DEVS * stats.dev:
             elsewhere = self.may_go_elsewhere(request, attempt, now)
-            if elsewhere and self.settings.may_cancel and self.again(request, now):
+            if elsewhere and self.settings.may_cancel and self.may_retry(request, now):
                 self.actions.append(Cancel(request.arrival.request_id, len(request.attempts) - 1))
 
     def may_go_elsewhere(self, request: Request, attempt: Attempt, now: float) -> bool:
--- a/lupinlink/brain/health.py
+++ b/lupinlink/brain/health.py
@@ -1,80 +1,98 @@
-"""Which servers are fit for work: how much a cold one may have, and who is left out."""
+"""Slow start of cold servers and ejection of failing ones."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
 
-from lupinlink.brain.admission import AT_EASE
+from lupinlink.brain.admission import LOW_UTILIZATION
 from lupinlink.interface import Server, Settings
 
-AT_EASE_STEP, TIGHT_STEP = 1.04, 0.96  # a cold server at ease gets so much more, another so much less
-EJECT_AT, OVER_FLEET = 0.5, 3.0  # failing share to be ejected, and over the fleet's: all fail, none is out
-EJECT_MS, EJECT_MAX_MS, MAX_EJECTED = 2000.0, 16000.0, 0.4  # doubled each time in a row; share at a time
-RETURN_LOAD, LEAST_KEPT = 1.5, 0.5  # load (log) that a returning server is taken for; spans of a fall
+LOW_UTILIZATION_STEP, HIGH_UTILIZATION_STEP = 1.04, 0.96  # factor per report of a cold server for its share
+# Share of failures that ejects a server. It also has to be this multiple of the mean over all servers: where
+# all fail, none is ejected.
+EJECT_FAILURE_SHARE, EJECT_FLEET_MULTIPLE = 0.5, 3.0
+# The duration doubles with each ejection in a row; share of the servers that may be ejected at a time.
+BASE_EJECTION_MS, MAX_EJECTION_MS, MAX_EJECTED_SHARE = 2000.0, 16000.0, 0.4
+# Log load assumed of a server that returns from ejection; least lifetime of a token, in units of ``fall_ms``.
+RETURN_LOAD, MIN_TOKEN_LIFETIME = 1.5, 0.5
 
 
 class SlowStart:
-    """Keeps all nodes together under what a server that has just started can do."""
+    """Limits what all nodes together send to a server that has just started, by token buckets on each."""
 
     def __init__(self, settings: Settings) -> None:
-        self.settings, self.slack = settings, 1.0 / (settings.peers * settings.fall_ms)  # of all: one a span
-        self.per_server = 0.0  # this node's even share a server and millisecond
+        # At least one token per ``fall_ms`` for all nodes together.
+        self.settings, self.min_rate = settings, 1.0 / (settings.peers * settings.fall_ms)
+        self.even_rate_per_ms = 0.0  # requests per server if this node spread its arrivals evenly
 
-    def least(self, server: Server, now: float) -> float:
-        """The least share of its full capacity that the settings promise by now."""
+    def promised_share(self, server: Server, now: float) -> float:
+        """The least share of its full capacity, 0 to 1, that the settings promise at a server's age."""
         age, share = max(0.0, now - server.row.started_ms), self.settings.cold_share
         cold = server.row.started_ms > 0.0 and age < self.settings.cold_ms
         return share + (1.0 - share) * age / self.settings.cold_ms if cold else 1.0
 
     def warmth(self, server: Server, now: float) -> float:
-        return min(1.0, server.boost * self.least(server, now))
-
-    def report(self, server: Server, busy: float) -> None:
-        """A cold server at ease may be given more; of many nodes each one sees few of its reports."""
-        step = (AT_EASE_STEP if busy < AT_EASE else TIGHT_STEP) ** max(1, self.settings.peers / 2)
+        """The share of its full capacity that a server is taken to have, given its reports."""
+        return min(1.0, server.boost * self.promised_share(server, now))
+
+    def report(self, server: Server, utilization: float) -> None:
+        """Adjust what a cold server is sent to its reports, of which each of many nodes sees only few."""
+        step = (LOW_UTILIZATION_STEP if utilization < LOW_UTILIZATION else HIGH_UTILIZATION_STEP) ** max(
+            1, self.settings.peers / 2
+        )
         server.boost = min(max(1.0, server.boost * step), 1.0 / max(self.settings.cold_share, 0.01))
 
     def allows(self, server: Server, now: float) -> bool:
-        """Danger: nodes that cannot see each other spend at once what each saved: whole tokens go stale."""
-        more = min(server.boost, self.settings.fall_multiple / (1.0 + LEAST_KEPT))
-        kept = max(LEAST_KEPT, self.settings.fall_multiple / server.boost / more - 1) * self.settings.fall_ms
-        rate = max(self.per_server * self.warmth(server, now) * more, self.slack)
+        """Whether slow start allows an attempt.
+
+        Unused tokens expire: nodes cannot see each other, and all could spend their savings at once.
+        """
+        boost = min(server.boost, self.settings.fall_multiple / (1.0 + MIN_TOKEN_LIFETIME))
+        token_lifetime_ms = (
+            max(MIN_TOKEN_LIFETIME, self.settings.fall_multiple / server.boost / boost - 1)
+            * self.settings.fall_ms
+        )
+        rate = max(self.even_rate_per_ms * self.warmth(server, now) * boost, self.min_rate)
         tokens, server.tokens_at = server.tokens + (now - server.tokens_at) * rate, now
-        server.tokens = tokens if tokens < 1.0 else tokens % 1.0 + (tokens % 1.0 <= rate * kept)
-        return server.tokens >= 1.0 or self.least(server, now) >= 1.0
+        server.tokens = tokens if tokens < 1.0 else tokens % 1.0 + (tokens % 1.0 <= rate * token_lifetime_ms)
+        return server.tokens >= 1.0 or self.promised_share(server, now) >= 1.0
 
 
 class OutlierDetector:
-    """Outlier ejection by failures, with a cap; the way back is the fading of a bad figure."""
+    """Outlier ejection by failures, with a cap; a returning server regains its share as its load decays."""
 
     def __init__(self, rng: Random) -> None:
-        self.rng, self.fleet = rng, 0.0
+        self.rng, self.fleet_failing = rng, 0.0
         self.ejected: dict[Server, None] = {}
-        self._returns: list[tuple[float, int, Server]] = []  # a heap, by when each is back
+        self._returns: list[tuple[float, int, Server]] = []  # a heap, by the end of the ejection
         self._numbers = count()
 
     def record(self, server: Server, gain: float, failed: bool, now: float, ready: int) -> bool:
-        """Take one outcome; whether the server is ejected for it."""
+        """Record an outcome and return whether the server is ejected for it."""
         server.failing += gain * (failed - server.failing)
-        self.fleet += 0.02 * (failed - self.fleet)
+        self.fleet_failing += 0.02 * (failed - self.fleet_failing)
         server.ejections, server.trial = server.ejections * (server.failing >= 0.05), server.trial and failed
-        bad = failed and server.failing >= max(EJECT_AT, min(0.9, OVER_FLEET * self.fleet))
-        return bad and self.eject(server, now, MAX_EJECTED * ready)
-
-    def eject(self, server: Server, now: float, most: float) -> bool:
-        """Leave it out for a while, doubled each time in a row; it comes back on trial. Whether it is out."""
-        if server in self.ejected or len(self.ejected) + 1 > most:
+        bad = failed and server.failing >= max(
+            EJECT_FAILURE_SHARE, min(0.9, EJECT_FLEET_MULTIPLE * self.fleet_failing)
+        )
+        return bad and self.eject(server, now, MAX_EJECTED_SHARE * ready)
+
+    def eject(self, server: Server, now: float, max_ejected: float) -> bool:
+        """Eject a server for a while, unless too many are; it returns on trial, one attempt at a time."""
+        if server in self.ejected or len(self.ejected) + 1 > max_ejected:
             return False
-        span = min(EJECT_MS * 2.0**server.ejections, EJECT_MAX_MS) * self.rng.uniform(0.75, 1.25)
+        duration_ms = min(BASE_EJECTION_MS * 2.0**server.ejections, MAX_EJECTION_MS) * self.rng.uniform(
+            0.75, 1.25
+        )
         self.ejected[server] = None
-        server.ejected_until, server.ejections, server.trial = now + span, server.ejections + 1, True
-        server.load, server.known_at = max(server.load, RETURN_LOAD), now + span
+        server.ejected_until, server.ejections, server.trial = now + duration_ms, server.ejections + 1, True
+        server.load, server.known_at = max(server.load, RETURN_LOAD), now + duration_ms
         heappush(self._returns, (server.ejected_until, next(self._numbers), server))
         return True
 
     def returned(self, now: float) -> Iterator[Server]:
-        """Those whose time out is over, each once."""
+        """Yield each server whose ejection has ended, once."""
         while self._returns and self._returns[0][0] <= now:
             _, _, server = heappop(self._returns)
             del self.ejected[server]
--- a/lupinlink/brain/load_monitoring.py
+++ b/lupinlink/brain/load_monitoring.py
@@ -9,9 +9,9 @@
 from lupinlink.brain.health import OutlierDetector, SlowStart
 from lupinlink.brain.ready_capacity import ReadyCapacity
 from lupinlink.brain.server_selection import (
-    FADE_MS,
     LATENCY,
     LATENCY_GAIN,
+    LOAD_DECAY_MS,
     OVERDUE_GAIN,
     REPORT,
     REPORT_GAIN,
@@ -79,16 +79,16 @@
         self.usable_changed(server, now)
         self.selector.subset.left(server, now)
 
-    def eject(self, server: Server, now: float, most: float) -> None:
+    def eject(self, server: Server, now: float, max_ejected: float) -> None:
         """Leave it out for a while, if not so many are."""
-        if self.outlier_detector.eject(server, now, most):
+        if self.outlier_detector.eject(server, now, max_ejected):
             self.usable_changed(server, now)
 
     def look_ahead(self, now: float) -> None:
         """Fewer servers may be left: refuse from now on what they cannot bear, the delay tells too late."""
         admission, share = self.admission, self.admission.foresight.look(self.capacity(now))
         if share < admission.admit_probability:
-            admission.admit_probability, admission.refusing, admission.delta = share, True, 0.0
+            admission.admit_probability, admission.refusing, admission.correction = share, True, 0.0
             self.begin_period(now)
 
     def begin_period(self, now: float) -> None:
@@ -110,7 +110,7 @@
         rate, delay, ready = fresh / seconds, self.delay(period, seconds, now), self.capacity(now)
         self.admission.revise(rate, delay, ready, busy, min(1.0, period.held / max(1, period.arrivals)))
         even = period.arrivals / seconds / 1000.0 / max(1, len(self.selector.table))
-        self.slow_start.per_server += 0.5 * (even - self.slow_start.per_server)
+        self.slow_start.even_rate_per_ms += 0.5 * (even - self.slow_start.even_rate_per_ms)
         over = (self.admission.delay / self.admission.target - SPILL_FROM) / SPILL_SPAN
         self.selector.spill = min(max(over, 0.0), 1.0)
         self.begin_period(now)
@@ -130,7 +130,7 @@
         little = sum(1.0 / aim for _, aim in out) * span / held
         return served + min(1.0, period.latency_sum / held / span) * (little - served)
 
-    def evidence(self, request: Request, attempt: Attempt, event: api.Outcome, now: float) -> None:
+    def record_outcome(self, request: Request, attempt: Attempt, event: api.Outcome, now: float) -> None:
         """What an outcome says of the server and, for d, of all; quick errors say nothing of load."""
         server, status, aim = attempt.server, event.status, request.cls.aim_ms
         stats, delay = self.latency[request.arrival.class_index], (now - attempt.sent_at) / aim
@@ -145,7 +145,7 @@
             gain = 0.0 if self.settings.reports_in_answers else LATENCY_GAIN
             self.selector.observe(server, delay * aim / stats.mean, LATENCY, gain, now)
             stats.add(delay * aim, STATS_GAIN)
-            self.limits.answered(event.report, delay)
+            self.limits.record_answer(event.report, delay)
         elif status == Status.OVERLOADED:
             self.selector.observe(server, FULL_FIGURE, LATENCY, OVERDUE_GAIN, now)
             delay = FULL_DELAY
@@ -173,7 +173,7 @@
 
     def probe_some(self) -> None:
         """Where reports come by probe only, make up for what this node's own requests do not show."""
-        self.probe_tokens += PROBE_MOST / (1.0 + self.slow_start.per_server * FADE_MS) ** 2
+        self.probe_tokens += PROBE_MOST / (1.0 + self.slow_start.even_rate_per_ms * LOAD_DECAY_MS) ** 2
         if self.probes and self.selector.table and self.probe_tokens >= 1.0:
             self.probe_tokens = 0.0
             drawn = [self.selector.table.draw(self.rng.random()) for _ in range(PROBE_DRAWS)]
--- a/lupinlink/brain/ready_capacity.py
+++ b/lupinlink/brain/ready_capacity.py
@@ -1,4 +1,7 @@
-"""How much work the usable servers take together, a cold one by its warmth; kept as they change. Pure."""
+"""The total capacity of the usable servers, updated as they change.
+
+Performs no I/O; the caller passes the current time.
+"""
 
 from __future__ import annotations
 
@@ -7,33 +10,33 @@
 from lupinlink.brain.health import SlowStart
 from lupinlink.interface import Server
 
-MOST_REFRESHED = 256  # cold servers whose warmth is looked at anew in one turn
+MAX_REFRESHED = 256  # cold servers whose warmth is updated per call
 
 
 class ReadyCapacity:
-    """The sum, in warm servers."""
+    """The capacity in units of a warm server; a cold one counts by its warmth."""
 
     def __init__(self, slow_start: SlowStart) -> None:
         self._slow_start = slow_start
         self._warm: set[Server] = set()
-        self._cold: dict[Server, float] = {}  # with their warmth, the one looked at longest ago first
+        self._cold: dict[Server, float] = {}  # with their warmth, the least recently updated first
 
     def set_usable(self, server: Server, usable: bool, now: float) -> None:
-        """Whether a server takes work and is not left out."""
+        """Record whether a server is ready and not ejected."""
         self._warm.discard(server)
         self._cold.pop(server, None)
         if usable:
-            self._take(server, now)
+            self._add(server, now)
 
     def total(self, now: float) -> float:
-        """The sum; of very many cold servers some count as they were some turns ago."""
-        for server in list(islice(self._cold, MOST_REFRESHED)):
+        """The total; among very many cold servers the warmth of some is a few calls old."""
+        for server in list(islice(self._cold, MAX_REFRESHED)):
             del self._cold[server]
-            self._take(server, now)
+            self._add(server, now)
         return len(self._warm) + sum(self._cold.values())
 
-    def _take(self, server: Server, now: float) -> None:
-        if self._slow_start.least(server, now) >= 1.0:
+    def _add(self, server: Server, now: float) -> None:
+        if self._slow_start.promised_share(server, now) >= 1.0:
             self._warm.add(server)
         else:
             self._cold[server] = self._slow_start.warmth(server, now)
--- a/lupinlink/lab/variants.py
+++ b/lupinlink/lab/variants.py
@@ -44,9 +44,14 @@
     """Admits everybody."""
 
     def revise(
-        self, rate: float, delay: float | None, ready: float, busy: float | None = None, through: float = 0.0
+        self,
+        rate: float,
+        delay: float | None,
+        capacity: float,
+        utilization: float | None = None,
+        served_share: float = 0.0,
     ) -> None:
-        super().revise(rate, delay, ready, busy, through)
+        super().revise(rate, delay, capacity, utilization, served_share)
         self.admit_probability, self.refusing, self.foresight.need = 1.0, False, 0.0
 
 
@@ -69,7 +74,7 @@
 class Patient(OutlierDetector):
     """Leaves nobody out."""
 
-    def eject(self, server: Server, now: float, most: float) -> bool:
+    def eject(self, server: Server, now: float, max_ejected: float) -> bool:
         return False
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -35,16 +35,16 @@
     # x = 0.35, d = 1.4: the model's utilisation is 1 - 0.35/1.4 = 0.75 at 20*2/10 = 4 a server and second,
     # so E[X] = 0.75/4 = 0.1875 s and Pa^m = (D - x) / (4 * 0.1875 * D); dPa = -0.8 * (1.4 - D) / 2.
     loop.revise(20.0, 1.4, 10)
-    assert loop.work == pytest.approx(0.1875)
+    assert loop.service_demand_s == pytest.approx(0.1875)
     model = (D_REF - INITIAL_SERVICE_TIME) / (4 * 0.1875 * D_REF)
-    delta = -INITIAL_THETA[0] * (1.4 - D_REF) / INITIAL_THETA[1]
-    assert loop.admit_probability == pytest.approx(model + delta)
-    assert loop.refusing and loop.delta == pytest.approx(delta)
+    correction = -INITIAL_THETA[0] * (1.4 - D_REF) / INITIAL_THETA[1]
+    assert loop.admit_probability == pytest.approx(model + correction)
+    assert loop.refusing and loop.correction == pytest.approx(correction)
 
 
 def test_rls_step_by_hand() -> None:
     loop = Admission(1, 0.5)
-    loop.error, loop.delta = 1.0, 0.0
+    loop.error, loop.correction = 1.0, 0.0
     # phi = [1, 0], P = I: P11 becomes 1 - 1/2 = 0.5; the miss is 0.5 - 0.8, so theta1 moves by 0.5 * -0.3.
     loop.learn(0.5)
     assert loop.p11 == pytest.approx(0.5) and loop.p22 == pytest.approx(1.0)
@@ -69,16 +69,16 @@
     loop = Admission(1, 0.5)
     loop.revise(20.0, 50.0, 1)
     loop.revise(0.0, None, 1)
-    assert loop.admit_probability == 1.0 and not loop.refusing and loop.delta == 0.0
+    assert loop.admit_probability == 1.0 and not loop.refusing and loop.correction == 0.0
 
 
 def test_long_answers_from_servers_at_ease_refuse_nobody() -> None:
     # Where the bare answer takes more than half the aim, E[X] was never learnt and refusing never ended.
     admission = Admission(2, 0.3)
     for _ in range(20):
-        admission.revise(100.0, 0.7, 8, busy=0.4)
-    assert not admission.refusing and admission.x > 0.55 and admission.target > 0.75
-    admission.revise(100.0, 1.2, 8, busy=0.95)
+        admission.revise(100.0, 0.7, 8, utilization=0.4)
+    assert not admission.refusing and admission.service_time > 0.55 and admission.target > 0.75
+    admission.revise(100.0, 1.2, 8, utilization=0.95)
     assert admission.refusing
 
 
@@ -86,28 +86,28 @@
     # Half a farm lost: the delay still tells of those let in before, and admission fell to its floor.
     loop = Admission(2, 0.3)
     for _ in range(4):
-        loop.revise(300.0, 1.4, 4, busy=0.9, through=0.8)
+        loop.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.8)
         assert loop.admit_probability >= MIN_SHARE_OF_THROUGHPUT * 0.8
-    loop.revise(300.0, 1.4, 4, busy=0.9, through=0.5)
+    loop.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.5)
     assert MIN_ADMIT_PROBABILITY < loop.admit_probability < MIN_SHARE_OF_THROUGHPUT * 0.8
 
 
 def test_work_is_reckoned_from_what_is_served_and_not_from_what_is_let_in() -> None:
     loop = Admission(2, 0.5)
     # As by hand above, 4 a server and second: what is let in, for a farm that fills serves less yet.
-    loop.revise(20.0, 1.4, 10, through=0.5)
-    assert loop.work == pytest.approx(0.1875)
+    loop.revise(20.0, 1.4, 10, served_share=0.5)
+    assert loop.service_demand_s == pytest.approx(0.1875)
     # Then a half of them came through: 0.75 = 2 * E[X], taken over by half.
-    loop.revise(20.0, 1.4, 10, through=0.5)
-    assert loop.work == pytest.approx(0.1875 + 0.5 * (0.375 - 0.1875))
+    loop.revise(20.0, 1.4, 10, served_share=0.5)
+    assert loop.service_demand_s == pytest.approx(0.1875 + 0.5 * (0.375 - 0.1875))
 
 
 def test_a_farm_at_ease_again_is_filled_step_by_step() -> None:
     loop, steps = Admission(2, 0.3), list[float]()
-    loop.revise(300.0, 1.4, 4, busy=0.9)
+    loop.revise(300.0, 1.4, 4, utilization=0.9)
     while loop.refusing:
         before = loop.admit_probability
-        loop.revise(300.0, 0.4, 4, busy=0.5, through=before)
+        loop.revise(300.0, 0.4, 4, utilization=0.5, served_share=before)
         steps.append(loop.admit_probability / before)
     assert len(steps) > 1 and max(steps) <= MAX_RECOVERY_FACTOR + 1e-9 and loop.admit_probability == 1.0
 
@@ -131,7 +131,7 @@
     for _ in range(3):
         for tenant, count in ((0, 8), (1, 200)):
             for i in range(count):
-                order.bucket(Arrival(str(i), 0, tenant, 1.0), rng)
+                order.count_arrival(Arrival(str(i), 0, tenant, 1.0), rng)
         order.revise(0.1, 1.0, [LatencyStats(50.0, 10.0)])
     assert order.admit_probability[1] == 0.0 and order.admit_probability[0] > 0.3
 
--- a/tests/test_cold_server_load.py
+++ b/tests/test_cold_server_load.py
@@ -35,7 +35,7 @@
 
     def __init__(self, settings: Settings, rng: Random, load: float) -> None:
         self.slow = SlowStart(settings)
-        self.slow.per_server = load * CAPACITY / settings.peers / 1000.0
+        self.slow.even_rate_per_ms = load * CAPACITY / settings.peers / 1000.0
         self.server = Server(
             Endpoint("a", started_ms=1.0), 1.0, Group(1.0), tokens=rng.random(), tokens_at=1.0
         )
@@ -113,7 +113,7 @@
                         process.turn -= 20.0
                         if process.turn <= 0.0:
                             process.turn = 1000.0 * rng.uniform(0.75, 1.25)
-                            process.slow.per_server += 0.5 * (even - process.slow.per_server)
+                            process.slow.even_rate_per_ms += 0.5 * (even - process.slow.even_rate_per_ms)
                         if rng.random() < even * 20.0 * wanted and process.send(float(now)):
                             cold.meet(float(now), i)
                     cold.weigh(float(now))
@@ -125,7 +125,7 @@
         for _ in range(100):
             process.slow.report(process.server, 0.3)
         sent = sum(process.send(float(now)) for now in range(1, 20000, 20))
-        self.assertLessEqual(sent, 1 + 2.0 * process.slow.per_server * 20000.0)
+        self.assertLessEqual(sent, 1 + 2.0 * process.slow.even_rate_per_ms * 20000.0)
         for _ in range(3):  # nor does it take as long to come down again
             process.slow.report(process.server, 0.95)
         self.assertEqual(process.server.boost, 1.0)
@@ -137,7 +137,7 @@
             processes, sent = [Process(settings, rng, 0.8) for _ in range(peers)], 0
             for now in range(1, int(SPAN_MS), 20):
                 for process in processes:
-                    if rng.random() < process.slow.per_server * 20.0:
+                    if rng.random() < process.slow.even_rate_per_ms * 20.0:
                         sent += process.send(float(now))
             even = 0.8 * CAPACITY * SPAN_MS / 1000.0 * (1.0 + share) / 2.0
             self.assertGreater(sent, 0.6 * even, (peers, share))
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -5,7 +5,7 @@
 import math
 import unittest
 
-from lupinlink.brain.concurrency import FADE_MS, MIN_LIMIT, MIN_REPORTS, ConcurrencyLimits
+from lupinlink.brain.concurrency import MIN_LIMIT, MIN_REPORTS, REPORT_DECAY_MS, ConcurrencyLimits
 from lupinlink.interface import Arrival, Endpoint, Group, Request, RequestClass, Send, Server, Settings
 from tests.helpers import NodeHarness
 
@@ -27,7 +27,7 @@
         for _ in range(4 * MIN_REPORTS):
             self.limits.report(self.server, queueing(cores + 2.0, 2.0), 0.0)
         for _ in range(200):
-            self.limits.answered(queueing(0.0, 0.0), WORK_MS / AIM_MS)
+            self.limits.record_answer(queueing(0.0, 0.0), WORK_MS / AIM_MS)
 
     def test_the_limit_follows_from_cores_aim_and_work(self) -> None:
         self.learn(cores=1.0)
@@ -47,35 +47,35 @@
 
     def test_reports_that_make_no_sense_leave_no_mark(self) -> None:
         self.learn()
-        before = (self.server.held, self.server.group.cores, self.limits.usual_aims)
+        before = (self.server.held, self.server.group.cores, self.limits.service_time)
         for held, queued in ((math.nan, 1.0), (2.0, 3.0), (-1.0, -2.0), (math.inf, 1.0), (3.0, math.nan)):
             self.limits.report(self.server, queueing(held, queued), 1.0)
         for aims in (math.nan, math.inf, -1.0, 0.0):
-            self.limits.answered(queueing(0.0, 0.0), aims)
-        self.assertEqual((self.server.held, self.server.group.cores, self.limits.usual_aims), before)
+            self.limits.record_answer(queueing(0.0, 0.0), aims)
+        self.assertEqual((self.server.held, self.server.group.cores, self.limits.service_time), before)
 
     def test_one_odd_report_or_answer_moves_the_limit_by_little(self) -> None:
         self.learn()
         before = self.limits.limit(self.server)
         self.limits.report(self.server, queueing(9.0, 1.0), 1.0)
-        self.limits.answered(queueing(0.0, 0.0), 3.0)
+        self.limits.record_answer(queueing(0.0, 0.0), 3.0)
         self.assertLess(abs(self.limits.limit(self.server) / before - 1.0), 1.0)
         self.assertGreaterEqual(self.limits.limit(self.server), MIN_LIMIT)
 
     def test_what_it_holds_is_its_report_as_it_fades_and_the_sends_since(self) -> None:
         self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
         self.server.sent_since = 2
-        self.assertAlmostEqual(self.limits.holds(self.server, 0.0), 5.0)
-        self.assertAlmostEqual(self.limits.holds(self.server, FADE_MS), 2.0 + 3.0 / math.e)
+        self.assertAlmostEqual(self.limits.requests_held(self.server, 0.0), 5.0)
+        self.assertAlmostEqual(self.limits.requests_held(self.server, REPORT_DECAY_MS), 2.0 + 3.0 / math.e)
         self.limits.report(self.server, queueing(1.0, 0.0), 10.0)
-        self.assertAlmostEqual(self.limits.holds(self.server, 10.0), 1.0)
+        self.assertAlmostEqual(self.limits.requests_held(self.server, 10.0), 1.0)
 
     def test_who_could_only_be_late_waits_no_longer_unless_late_is_worth_something(self) -> None:
         self.learn()
         soon = Request(Arrival("r", 0, 0, 880.0), CLASS, AIM_MS)
-        self.assertLess(self.limits.latest_begin(soon), AIM_MS - WORK_MS)
+        self.assertLess(self.limits.latest_useful_send(soon), AIM_MS - WORK_MS)
         late = Request(Arrival("r", 0, 0, 880.0), RequestClass(AIM_MS, 880.0, late_worth=0.2), AIM_MS)
-        self.assertEqual(self.limits.latest_begin(late), AIM_MS)
+        self.assertEqual(self.limits.latest_useful_send(late), AIM_MS)
 
 
 class Full(unittest.TestCase):
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -9,7 +9,13 @@
 import pytest
 
 from lupinlink.brain.health import SlowStart
-from lupinlink.brain.server_selection import FADE_MS, LATENCY, REPORT, WEIGHTS_INTERVAL_MS, ServerSelector
+from lupinlink.brain.server_selection import (
+    LATENCY,
+    LOAD_DECAY_MS,
+    REPORT,
+    WEIGHTS_INTERVAL_MS,
+    ServerSelector,
+)
 from lupinlink.interface import Endpoint, EndpointState, Group, MembershipKind, Server, Settings
 from lupinlink.node import Node
 from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
@@ -23,7 +29,7 @@
 
 
 def draw(split: ServerSelector, node: Node, now: float, count: int = 4000) -> Counter[str]:
-    split.due_at = -math.inf
+    split.weights_due_at = -math.inf
     picked = (split.pick(now, node, "", lambda s: True) for _ in range(count))
     return Counter(s.row.name for s in picked if s is not None)
 
@@ -37,7 +43,7 @@
 def test_weighted_against_load_and_fading_with_age() -> None:
     split, node = make()
     split.observe(node.servers["a"], 8.0, REPORT, 1.0, 0.0)
-    fresh, old = draw(split, node, 0.0)["a"], draw(split, node, 8 * FADE_MS)["a"]
+    fresh, old = draw(split, node, 0.0)["a"], draw(split, node, 8 * LOAD_DECAY_MS)["a"]
     assert fresh < 300 and fresh < old
     expected = split.weight(node.servers["a"], 0.0) / sum(split.weight(s, 0.0) for s in node.servers.values())
     assert fresh / 4000 == pytest.approx(expected, abs=0.02)
@@ -93,7 +99,7 @@
 def test_a_cold_server_has_a_budget() -> None:
     settings = Settings(classes=(SAFE,), cold_share=0.2, cold_ms=10000.0)
     start = SlowStart(settings)
-    start.per_server = 0.001
+    start.even_rate_per_ms = 0.001
     server = Server(Endpoint("a", started_ms=1000.0), 1000.0, Group(0.0), ready=True, tokens_at=1000.0)
     assert start.warmth(server, 1000.0) == pytest.approx(0.2)
     assert start.warmth(server, 11000.0) == 1.0
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -19,7 +19,7 @@
         sent: list[float] = []
         for seed in range(proxies):
             slow = SlowStart(settings)
-            slow.per_server = 0.8 * capacity / proxies / 1000.0
+            slow.even_rate_per_ms = 0.8 * capacity / proxies / 1000.0
             row = Endpoint("a", started_ms=1.0)
             harness = NodeHarness(settings, seed=seed)
             server = Server(row, 1.0, Group(1.0))
