--- a/lupinlink/commands/serve.py
+++ b/lupinlink/commands/serve.py
@@ -29,7 +29,7 @@
 from lupinlink.settings import Config, load_config
 
 if TYPE_CHECKING:
-    from lupinlink.net.seam import FleetSide
+    from lupinlink.net.fleet_extension import FleetExtension
 
 
 def main(argv: list[str]) -> int:
@@ -49,7 +49,7 @@
         return told_off(exc)
 
 
-def fleet_side(file: str, config: Config) -> FleetSide | None:
+def fleet_side(file: str, config: Config) -> FleetExtension | None:
     """What a fleet file adds; None after one line on standard error, if it cannot be used.
 
     Imported only here: a plain serve must load nothing of it.
--- a/lupinlink/lab/virtual.py
+++ b/lupinlink/lab/virtual.py
@@ -29,7 +29,7 @@
 from lupinlink.net import proxy as net
 from lupinlink.net.bodies import Body
 from lupinlink.net.counters import Counters
-from lupinlink.net.wheel import TICK_MS
+from lupinlink.net.timer_wheel import TICK_MS
 from lupinlink.settings import Settings, read_settings
 
 START_MS = 1_000_000.0  # times of nought mean 'long ago' on the wire
--- a/lupinlink/net/application_servers/attempts.py
+++ b/lupinlink/net/application_servers/attempts.py
@@ -13,14 +13,14 @@
 from lupinlink.net.counters import Counters
 from lupinlink.net.slots import Slots
 from lupinlink.net.terms import AttemptEnd
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.settings import Settings
 
 
 class Servers(Protocol):
     """All application servers' connections, as one attempt or connection sees them."""
 
-    clock: Clockwork
+    clock: ReactorClock
     settings: Settings
     counters: Counters
     connections: Slots[object]  # that are up, or on their way
--- a/lupinlink/net/application_servers/connection.py
+++ b/lupinlink/net/application_servers/connection.py
@@ -16,7 +16,7 @@
 from lupinlink.net.application_servers.sending import Opening, Sending
 from lupinlink.net.bodies import SMALL_BYTES, Flow
 from lupinlink.net.terms import AttemptEnd, Reply
-from lupinlink.net.typed import READ_BYTES
+from lupinlink.net.twisted_types import READ_BYTES
 
 log = logging.getLogger("lupinlink.net.application_servers")
 WHOLE_MS = 300.0  # once an answer has begun, so long may nothing more of it come
--- a/lupinlink/net/application_servers/dialling.py
+++ b/lupinlink/net/application_servers/dialling.py
@@ -12,8 +12,8 @@
 from lupinlink.net.application_servers.connection import Connection
 from lupinlink.net.application_servers.pool import Pool, Rested
 from lupinlink.net.terms import AttemptEnd
-from lupinlink.net.typed import Connector, Reactor
-from lupinlink.net.wheel import Timer
+from lupinlink.net.timer_wheel import Timer
+from lupinlink.net.twisted_types import Connector, Reactor
 
 
 class Dial(ClientFactory):
--- a/lupinlink/net/application_servers/pools.py
+++ b/lupinlink/net/application_servers/pools.py
@@ -18,8 +18,8 @@
 from lupinlink.net.counters import Counters
 from lupinlink.net.slots import Slots
 from lupinlink.net.terms import AttemptEnd, Call
-from lupinlink.net.typed import Reactor
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import Reactor
 from lupinlink.settings import Settings
 
 IDLE_SHARE = 0.6  # of the application server's idle limit: a request must never meet its close half-way
@@ -33,7 +33,7 @@
     def __init__(
         self,
         reactor: Reactor,
-        clock: Clockwork,
+        clock: ReactorClock,
         settings: Settings,
         cap: int,
         counters: Counters,
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -17,8 +17,8 @@
 from lupinlink.net.bodies import SMALL_BYTES, Body
 from lupinlink.net.socket_peek import peek
 from lupinlink.net.terms import AttemptEnd
-from lupinlink.net.typed import READ_BYTES, Transport
-from lupinlink.net.wheel import Timer
+from lupinlink.net.timer_wheel import Timer
+from lupinlink.net.twisted_types import READ_BYTES, Transport
 
 STALL_MS = 5000.0  # so long may an application server take nothing of a body
 WRITE_BYTES = 64 * 1024
--- a/lupinlink/net/clients/accepting.py
+++ b/lupinlink/net/clients/accepting.py
@@ -22,8 +22,8 @@
 from lupinlink.net.discovery_client import DiscoveryClient
 from lupinlink.net.lifecycle import Lifecycle
 from lupinlink.net.proxy import Proxy
-from lupinlink.net.typed import Port
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import Port
 from lupinlink.settings import Settings
 
 SWEEP_MS = 50.0
@@ -93,7 +93,7 @@
         self,
         proxy: Proxy,
         discovery_client: DiscoveryClient,
-        clock: Clockwork,
+        clock: ReactorClock,
         settings: Settings,
         lifecycle: Lifecycle,
         cap: int,
@@ -128,7 +128,7 @@
 
         While others wait in the kernel's queue, a kept connection would leave them there for good.
         """
-        if not self._lifecycle.keeps() or self.crowded:
+        if not self._lifecycle.keeps_connections() or self.crowded:
             return False
         stays = self._places.worth_keeping(client)
         self.counters["given_up_answered"] += not stays
--- a/lupinlink/net/clients/peer.py
+++ b/lupinlink/net/clients/peer.py
@@ -21,8 +21,8 @@
 from lupinlink.net.proxy import Proxy
 from lupinlink.net.socket_peek import peek
 from lupinlink.net.terms import Call
-from lupinlink.net.typed import READ_BYTES, Transport, unsent
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import READ_BYTES, Transport, unsent
 
 LOOKS = 4  # reads at most to find a client's end behind what it sent ahead; others wait meanwhile
 UNREAD_MS = 20000.0  # so long may a client read nothing of an answer that is passed on to it
@@ -40,7 +40,7 @@
     """What holds all connections, as one of them sees it."""
 
     proxy: Proxy
-    clock: Clockwork
+    clock: ReactorClock
     counters: Counters
     budget: Budget  # for all bodies on their way in
     flowing: dict[Peer, None]  # answers are being passed on to these
--- a/lupinlink/net/clients/places.py
+++ b/lupinlink/net/clients/places.py
@@ -9,7 +9,7 @@
 from lupinlink.net.clients.phases import Phase
 from lupinlink.net.counters import Counters
 from lupinlink.net.slots import Slots
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 
 PEEKS = 8  # connections looked at to make room for one
 
@@ -17,7 +17,7 @@
 class Places:
     """Every connection, by phase in order of time, under one cap."""
 
-    def __init__(self, cap: int, clock: Clockwork, counters: Counters) -> None:
+    def __init__(self, cap: int, clock: ReactorClock, counters: Counters) -> None:
         self._clock, self._counters = clock, counters
         self.connections: Slots[Peer] = Slots(cap)
         self.phases: dict[Phase, dict[Peer, None]] = {phase: {} for phase in Phase}
--- a/lupinlink/net/parts.py
+++ b/lupinlink/net/components.py
@@ -10,20 +10,20 @@
 from lupinlink.net.clients import Clients
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
-from lupinlink.net.handover.room import Room
+from lupinlink.net.handover.capacity import Capacity
 from lupinlink.net.lifecycle import LIST_WAIT_MS, Lifecycle
 from lupinlink.net.proxy import Proxy
-from lupinlink.net.typed import Reactor
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import Reactor
 from lupinlink.settings import Config
 
 
 @dataclass(eq=False, repr=False)
-class Parts:
+class Components:
     """From the clock up to clients; each knows only those before it."""
 
     reactor: Reactor
-    clock: Clockwork
+    clock: ReactorClock
     counters: Counters
     lifecycle: Lifecycle
     servers: ApplicationServers
@@ -32,9 +32,9 @@
     clients: Clients
 
 
-def build(config: Config, reactor: Reactor, room: Room) -> Parts:
+def build(config: Config, reactor: Reactor, room: Capacity) -> Components:
     """All parts of a process with that room; nothing listens yet, and nothing is asked."""
-    counters, clock, settings = Counters(), Clockwork(reactor), config.settings
+    counters, clock, settings = Counters(), ReactorClock(reactor), config.settings
     lifecycle = Lifecycle(max(cls.deadline_ms for cls in settings.classes))
     servers = ApplicationServers(reactor, clock, settings, room.servers, counters)
     discovery_client = DiscoveryClient(reactor, clock, config.discovery, settings, servers, counters)
@@ -47,7 +47,7 @@
     clients = Clients(
         proxy, discovery_client, clock, settings, lifecycle, room.clients, room.spare_mb, counters
     )
-    return Parts(reactor, clock, counters, lifecycle, servers, discovery_client, proxy, clients)
+    return Components(reactor, clock, counters, lifecycle, servers, discovery_client, proxy, clients)
 
 
 def _trust_changed(discovery_client: DiscoveryClient, lifecycle: Lifecycle, change: ListTrustChanged) -> None:
--- a/lupinlink/net/discovery_client.py
+++ b/lupinlink/net/discovery_client.py
@@ -15,10 +15,10 @@
 from lupinlink.net.list_intake import ListIntake, Taking
 from lupinlink.net.list_keeper import ListKeeper, Told
 from lupinlink.net.lists import ListError as ListError
-from lupinlink.net.typed import Reactor
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import Reactor
 from lupinlink.net.watch import Watch
 from lupinlink.net.watch_listener import WatchEnd
-from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
     def __init__(
         self,
         reactor: Reactor,
-        clock: Clockwork,
+        clock: ReactorClock,
         discovery: tuple[str, int],
         settings: Settings,
         servers: ApplicationServers,
--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -27,13 +27,13 @@
 from lupinlink.coordination.tenure import Tenure
 from lupinlink.coordination.wire import Wire
 from lupinlink.errors import LupinError
-from lupinlink.net.seam import Host, Refusal
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.fleet_extension import ExtensionHost, Refusal
+from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.net.wishes import Wishes
 
 if TYPE_CHECKING:
     from lupinlink.net.terms import Call
-    from lupinlink.net.typed import Reactor
+    from lupinlink.net.twisted_types import Reactor
     from lupinlink.settings import Config
 
 log = logging.getLogger(__name__)
@@ -59,11 +59,11 @@
 
 
 @dataclass(slots=True)
-class Kit:
+class FleetContext:
     """What a part is made of."""
 
     agreement: Agreement
-    clock: Clockwork
+    clock: ReactorClock
     tenure: Tenure  # the process's one lease: a lease of its own would cost a part a call each 3 s
     draw: Callable[[], float]
     member: Member
@@ -72,13 +72,13 @@
     tables: Mapping[str, Any] = field(default_factory=dict)  # the parts' settings, by table
     made: dict[str, Part] = field(default_factory=dict)  # the parts before this one, by table
     run: str = ""  # drawn for this process
-    _host: Host | None = None
+    _host: ExtensionHost | None = None
     _lead: Lead | None = None
     _led: bool = False  # by a part that starts and stops it itself
     _wishes: Wishes | None = None
 
     @property
-    def host(self) -> Host:
+    def host(self) -> ExtensionHost:
         """The service; there from ``Part.start`` on."""
         assert self._host is not None, "the service has not started"
         return self._host
@@ -105,7 +105,7 @@
         """A part brings the lead, and starts and stops it."""
         self._lead, self._led = lead, True
 
-    def begin(self, host: Host) -> None:
+    def begin(self, host: ExtensionHost) -> None:
         """The service has started."""
         self._host = host
         if self._lead is not None and not self._led:
@@ -126,26 +126,26 @@
         zones, zone = config.settings.zones, config.settings.zone
         own_zone = zones[zone] if zone < len(zones) else str(zone)
         draw = random.SystemRandom().random  # Danger: equal seeds would make a fleet act in step
-        clock = Clockwork(reactor)
+        clock = ReactorClock(reactor)
         self._began = time.monotonic()
         self._wire = self._service(agreement, reactor, clock, config.name)
         pacing = Pacing(agreement.ask_ms, agreement.wait_s * 1000.0)
         self._client = Client(self._wire, clock, draw, pacing)
         self._tenure = Tenure(self._client, clock, agreement.lease_s * 1000.0, draw)
         self._file = file
-        self._kit = Kit(
+        self._context = FleetContext(
             self._client, clock, self._tenure, draw,
             Member(config.name, member.zone or own_zone, member.version or version, member.pool),
             agreement, file.folder, file.parts, run=f"{config.name}-{draw():.16f}",
         )  # fmt: skip
-        self._presence = Presence(self._client, clock, self._tenure, self._kit.member, draw)
+        self._presence = Presence(self._client, clock, self._tenure, self._context.member, draw)
         for table, settings in file.parts.items():
-            self._kit.made[table] = self._make(table, settings)
-        gates = [part for part in self._kit.made.values() if isinstance(part, Gate)]
+            self._context.made[table] = self._make(table, settings)
+        gates = [part for part in self._context.made.values() if isinstance(part, Gate)]
         self._gate = gates[0] if gates else None
 
     @staticmethod
-    def _service(agreement: AgreementSettings, reactor: Reactor, clock: Clockwork, name: str) -> Wire:
+    def _service(agreement: AgreementSettings, reactor: Reactor, clock: ReactorClock, name: str) -> Wire:
         if agreement.form == "memory":
             return MemoryService(clock, agreement.lock_delay_s * 1000.0).wire()
         from lupinlink.coordination.consul import ConsulWire, Place
@@ -157,37 +157,37 @@
 
     def _make(self, table: str, settings: Any) -> Part:
         try:
-            made = import_module(WIRED[table]).make(self._kit, settings)
+            made = import_module(WIRED[table]).make(self._context, settings)
         except ModuleNotFoundError as exc:
             raise FleetPartError(f"{table}: {exc}") from exc
         return cast(Part, made)
 
-    def started(self, host: Host) -> None:
+    def started(self, host: ExtensionHost) -> None:
         """The reactor runs."""
-        self._kit.begin(host)
+        self._context.begin(host)
         self._tenure.listen(lambda lease: None, self._lost)
         self._tenure.start()
         self._presence.start()
-        for part in self._kit.made.values():
+        for part in self._context.made.values():
             part.start()
         where = self._file.agreement.address if self._file.agreement.form == "consul" else "memory"
-        log.info("fleet", extra={"kv": {"agreement": where, "parts": ",".join(self._kit.made) or "none"}})
+        log.info("fleet", extra={"kv": {"agreement": where, "parts": ",".join(self._context.made) or "none"}})
 
     def stopping(self) -> None:
         """This process ends. What is told the service now may arrive or not; leases end by themselves."""
-        for part in self._kit.made.values():
+        for part in self._context.made.values():
             try:
                 part.stop()
             except Exception:
                 log.exception("a part failed to stop")
-        self._kit.stop()
+        self._context.stop()
         self._presence.stop()
         self._tenure.stop()
 
     def calls(self) -> DoorCalls:
         """The parts' calls, and one that tells how this process stands with the agreement service."""
         table: dict[str, Mapping[str, Callable[[Ask], Answer]]] = {"/control/fleet": {"GET": self._state}}
-        for name, part in self._kit.made.items():
+        for name, part in self._context.made.items():
             for path, methods in part.calls().items():
                 if path in table:
                     raise FleetPartError(f"{name}: {path} is a call of another part")
@@ -207,8 +207,8 @@
         log.warning("lease lost", extra={"kv": {"why": error.line()}})
 
     def _state(self, ask: Ask) -> Answer:
-        lease, now = self._tenure.lease, self._kit.clock.now()
-        member, agreement = self._kit.member, self._file.agreement
+        lease, now = self._tenure.lease, self._context.clock.now()
+        member, agreement = self._context.member, self._file.agreement
         seconds = max(1e-3, time.monotonic() - self._began)
         kinds = ", ".join(f"{kind} {n}" for kind, n in sorted(self._client.calls_by_kind.items()))
         held = f"held, believed for {(lease.until_ms() - now) / 1000.0:.1f} s more" if lease else "none"
@@ -221,6 +221,6 @@
             "joined": "yes" if self._presence.known else "no",
             "calls": f"{self._client.calls} in {seconds:.0f} s, {self._client.calls / seconds:.2f} a second "
             f"({kinds or 'none'})",
-            "parts": ", ".join(self._kit.made) or "none",
+            "parts": ", ".join(self._context.made) or "none",
         }
         return Answer(200, "".join(f"{name:<10} {text}\n" for name, text in rows.items()))
--- a/lupinlink/net/seam.py
+++ b/lupinlink/net/fleet_extension.py
@@ -1,6 +1,6 @@
 """The seam between the service and a fleet file: what each side may ask of the other.
 
-Loaded only with a fleet file: a plain ``serve`` knows nothing of it. ``lupinlink.net.hosting`` is the
+Loaded only with a fleet file: a plain ``serve`` knows nothing of it. ``lupinlink.net.fleet_host`` is the
 service's side (Host), ``lupinlink.net.fleet`` the other (FleetSide). Times are milliseconds of the clock.
 """
 
@@ -12,10 +12,10 @@
 
 if TYPE_CHECKING:
     from lupinlink.coordination.part import DoorCalls
-    from lupinlink.net.lifecycle import Stand
+    from lupinlink.net.lifecycle import LifecycleState
     from lupinlink.net.terms import Call
-    from lupinlink.net.typed import Reactor
-    from lupinlink.net.wheel import Clockwork
+    from lupinlink.net.timer_wheel import ReactorClock
+    from lupinlink.net.twisted_types import Reactor
     from lupinlink.settings import Settings
 
 
@@ -64,7 +64,7 @@
     capacity: int = 0  # connections of clients that may be here
 
 
-class Host(Protocol):
+class ExtensionHost(Protocol):
     """What the service offers to the fleet's shell; all calls come on the reactor's thread."""
 
     @property
@@ -81,10 +81,10 @@
     def reactor(self) -> Reactor: ...
 
     @property
-    def clock(self) -> Clockwork: ...
+    def clock(self) -> ReactorClock: ...
 
     @property
-    def stand(self) -> Stand: ...
+    def state(self) -> LifecycleState: ...
 
     @property
     def drained(self) -> bool:
@@ -148,10 +148,10 @@
         ...
 
 
-class FleetSide(Protocol):
+class FleetExtension(Protocol):
     """What a fleet file adds to the service; all calls come on the reactor's thread."""
 
-    def started(self, host: Host) -> None:
+    def started(self, host: ExtensionHost) -> None:
         """The reactor runs; called once. Clients may come before or after it."""
         ...
 
--- a/lupinlink/net/hosting.py
+++ b/lupinlink/net/fleet_host.py
@@ -10,12 +10,12 @@
 from lupinlink.coordination.part import Ask, DoorCall
 from lupinlink.interface import NEVER_RAN, Status
 from lupinlink.net.clients import Phase
-from lupinlink.net.lifecycle import Stand
+from lupinlink.net.components import Components
+from lupinlink.net.fleet_extension import FleetExtension, Gauges, Listed, Outcomes
+from lupinlink.net.lifecycle import LifecycleState
 from lupinlink.net.lists import STATES
 from lupinlink.net.management import Call as ManagementCall
 from lupinlink.net.management import WrongAskError
-from lupinlink.net.parts import Parts
-from lupinlink.net.seam import FleetSide, Gauges, Listed, Outcomes
 from lupinlink.net.terms import Call
 from lupinlink.settings import Config
 
@@ -96,10 +96,10 @@
     return made
 
 
-class Hosting:
+class FleetHost:
     """Host of the seam, over the service's parts."""
 
-    def __init__(self, fleet: FleetSide, config: Config, parts: Parts, acts: Acts) -> None:
+    def __init__(self, fleet: FleetExtension, config: Config, parts: Components, acts: Acts) -> None:
         self.name, self.settings = config.name, config.settings
         self.reactor, self.clock, self._acts = parts.reactor, parts.clock, acts
         self._fleet, self._lifecycle, self._counters = fleet, parts.lifecycle, parts.counters
@@ -146,8 +146,8 @@
         self._reports.heard(server, report, self.clock.now())
 
     @property
-    def stand(self) -> Stand:
-        return self._lifecycle.stand
+    def state(self) -> LifecycleState:
+        return self._lifecycle.state
 
     @property
     def drained(self) -> bool:
--- a/lupinlink/net/fleet_migration.py
+++ b/lupinlink/net/fleet_migration.py
@@ -10,15 +10,15 @@
 
 if TYPE_CHECKING:
     from lupinlink.migration.settings import MigrationSettings
-    from lupinlink.net.fleet import Kit
+    from lupinlink.net.fleet import FleetContext
 WHO = "migration"
 
 
 class MigrationHost:
     """``lupinlink.migration.host.Host`` over the service."""
 
-    def __init__(self, kit: Kit) -> None:
-        self._kit, self._host = kit, kit.host
+    def __init__(self, context: FleetContext) -> None:
+        self._context, self._host = context, context.host
 
     @property
     def ready(self) -> bool:
@@ -26,7 +26,7 @@
 
     def figures(self) -> Figures:
         """What it holds now; a server is warm once it is older than the settings' cold time."""
-        here, now, cold_ms = self._host.gauges(), self._kit.clock.now(), self._host.settings.cold_ms
+        here, now, cold_ms = self._host.gauges(), self._context.clock.now(), self._host.settings.cold_ms
         warm = [one for one in self._host.servers() if one.state == "ready"]
         warm = [one for one in warm if one.started_ms <= 0.0 or now - one.started_ms >= cold_ms]
         return Figures(
@@ -36,10 +36,10 @@
         )  # fmt: skip
 
     def drain(self) -> None:
-        self._kit.wishes.want(WHO, out=True)
+        self._context.wishes.want(WHO, out=True)
 
     def in_service(self) -> None:
-        self._kit.wishes.want(WHO, out=False)
+        self._context.wishes.want(WHO, out=False)
 
     def end_last(self) -> int:
         return self._host.end_last()
@@ -51,8 +51,8 @@
         return b""
 
 
-def make(kit: Kit, settings: MigrationSettings) -> Migrations:
+def make(context: FleetContext, settings: MigrationSettings) -> Migrations:
     """The part; gates and bounds are those of the release's table, or its defaults where there is none."""
-    release = kit.tables.get("release") or ReleaseSettings()
-    base = Base(kit.agreement, kit.clock, kit.draw, "", kit.run)
-    return Migrations(base, kit.member, lambda: MigrationHost(kit), kit.lead(), settings, release)
+    release = context.tables.get("release") or ReleaseSettings()
+    base = Base(context.agreement, context.clock, context.draw, "", context.run)
+    return Migrations(base, context.member, lambda: MigrationHost(context), context.lead(), settings, release)
--- a/lupinlink/net/handover/channel.py
+++ b/lupinlink/net/handover/channel.py
@@ -17,7 +17,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from lupinlink.net.handover.messages import HandoverError, Reader, line
-from lupinlink.net.typed import Reactor
+from lupinlink.net.twisted_types import Reactor
 
 log = logging.getLogger(__name__)
 READ_BYTES, MOST_WAITING = 65536, 8
--- a/lupinlink/net/handover/upgrade.py
+++ b/lupinlink/net/handover/upgrade.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
+from lupinlink.net.handover.capacity import Usage
 from lupinlink.net.handover.messages import VERSION, refusal
-from lupinlink.net.handover.room import Held
 
 log = logging.getLogger(__name__)
 ANSWER_MS = 1000.0  # so long the old one may take to answer; its turns are tens of milliseconds
@@ -40,10 +40,10 @@
     def taken_back(self) -> None:
         """The successor has gone: serve as before."""
 
-    def beside(self, other: Held | None) -> None:
+    def beside(self, other: Usage | None) -> None:
         """What the old process holds; None: it has gone."""
 
-    def holds(self) -> Held:
+    def holds(self) -> Usage:
         """What this process may come to hold."""
 
     def told(self, drain: bool) -> None:
@@ -61,7 +61,7 @@
         self._new: Link | None = None  # who was offered our place
         self._superseded = False
         self._waiting: list[Link] = []
-        self._told: Held | None = None
+        self._told: Usage | None = None
         self._left = False
 
     @property
@@ -108,7 +108,7 @@
         elif say == "holds":
             descriptors, memory = message.get("descriptors"), message.get("memory_mb")
             if isinstance(descriptors, int) and isinstance(memory, int | float):
-                self._house.beside(Held(descriptors, float(memory)))
+                self._house.beside(Usage(descriptors, float(memory)))
         elif say in ("drain", "undrain"):
             self._house.told(say == "drain")
 
--- a/lupinlink/net/leavers.py
+++ b/lupinlink/net/leavers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lupinlink.net.parts import Parts
+from lupinlink.net.components import Components
 
 CHECK_MS = 20.0  # how often connections are looked through while they are to go
 
@@ -12,7 +12,7 @@
 class Leavers:
     """The lifecycle says who goes when; ``leave`` is called once the process may end."""
 
-    def __init__(self, parts: Parts, leave: Callable[[], None]) -> None:
+    def __init__(self, parts: Components, leave: Callable[[], None]) -> None:
         self._clock, self._lifecycle = parts.clock, parts.lifecycle
         self._proxy, self._clients = parts.proxy, parts.clients
         self._leave = leave
@@ -27,16 +27,16 @@
     def _check(self) -> None:
         """While clients are to go: see them off, and leave once nothing more can come."""
         now, state = self._clock.now(), self._lifecycle
-        if state.keeps():
+        if state.keeps_connections():
             self._checking = False
             return
-        if state.last_call(now):
+        if state.must_answer_now(now):
             self._proxy.end_all()
-        if now >= state.idle_from():
+        if now >= state.close_idle_from():
             self._clients.close_idle(unasked=state.stopping)
         # Danger: who waits in the kernel's queue is taken already, as clients see it, and a close resets it.
         left = len(self._clients.connections) + self._proxy.open + self._clients.queued
-        if state.may_leave(now, left):
+        if state.may_exit(now, left):
             self._leave()
         else:
             self._clock.after(CHECK_MS, self._check)
--- a/lupinlink/net/lifecycle.py
+++ b/lupinlink/net/lifecycle.py
@@ -28,7 +28,7 @@
 HANDED_LEAVE_MS = 3000.0  # an old process stays so long in any case: its successor may yet fail
 
 
-class Stand(Enum):
+class LifecycleState(Enum):
     """What an operator is told."""
 
     STARTING = "starting"
@@ -53,15 +53,15 @@
         self._stopping_at: float | None = None
 
     @property
-    def stand(self) -> Stand:
+    def state(self) -> LifecycleState:
         """What weighs most of what holds."""
         if self._stopping_at is not None:
-            return Stand.STOPPING
+            return LifecycleState.STOPPING
         if not self._serving:
-            return Stand.STARTING
+            return LifecycleState.STARTING
         if self._handed_at is not None:
-            return Stand.HANDING_OVER
-        return Stand.IN_SERVICE if self._drained_at is None else Stand.DRAINING
+            return LifecycleState.HANDING_OVER
+        return LifecycleState.IN_SERVICE if self._drained_at is None else LifecycleState.DRAINING
 
     @property
     def stopping(self) -> bool:
@@ -109,7 +109,7 @@
         if self._handed_at is None:
             self._handed_at = now
 
-    def take_back(self) -> None:
+    def cancel_handover(self) -> None:
         """The successor has gone before this process did."""
         self._handed_at = None
 
@@ -131,11 +131,11 @@
         """Whether new connections are taken here and not by a successor."""
         return self._serving and self._handed_at is None
 
-    def keeps(self) -> bool:
+    def keeps_connections(self) -> bool:
         """Whether a connection stays open after its answer."""
         return self._drained_at is None and self._handed_at is None and self._stopping_at is None
 
-    def idle_from(self) -> float:
+    def close_idle_from(self) -> float:
         """When connections at rest are to go at once; infinite while they may stay."""
         ends = []
         if self._stopping_at is not None:
@@ -145,11 +145,11 @@
             ends.append(self._drained_at + DRAIN_IDLE_MS)
         return min(ends, default=math.inf)
 
-    def last_call(self, now: float) -> bool:
+    def must_answer_now(self, now: float) -> bool:
         """Whether what is still open must get its answer now."""
         return self._stopping_at is not None and now - self._stopping_at >= self.last_ms
 
-    def may_leave(self, now: float, left: int) -> bool:
+    def may_exit(self, now: float, left: int) -> bool:
         """Whether the process may end; ``left``: connections of clients and requests still here."""
         if self._stopping_at is not None:
             since = now - self._stopping_at
--- a/lupinlink/net/list_intake.py
+++ b/lupinlink/net/list_intake.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from lupinlink.net.lists import ListError
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 class ListIntake:
     """Runs them in their order. An object of one slice is taken at once, if none is on its way in."""
 
-    def __init__(self, clock: Clockwork, settled: Callable[[], None]) -> None:
+    def __init__(self, clock: ReactorClock, settled: Callable[[], None]) -> None:
         """``settled``: the last of those that took more than one turn is in."""
         self._clock, self._settled = clock, settled
         self._objects: deque[Taking] = deque()
--- a/lupinlink/net/list_keeper.py
+++ b/lupinlink/net/list_keeper.py
@@ -13,7 +13,7 @@
 from lupinlink.net.discovery_log import DiscoveryLog
 from lupinlink.net.list_entries import ListEntry
 from lupinlink.net.list_reader import ListReader
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.settings import Settings
 
 SLICE_ENTRIES = 256  # entries that pools and module learn in one turn of the event loop
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        clock: Clockwork,
+        clock: ReactorClock,
         settings: Settings,
         servers: ApplicationServers,
         counters: Counters,
--- a/lupinlink/net/premises.py
+++ b/lupinlink/net/listener_takeover.py
@@ -12,33 +12,33 @@
 
 from lupinlink.net.clients import Listener
 from lupinlink.net.clients.accepting import BACKLOG
+from lupinlink.net.components import Components
 from lupinlink.net.discovery_client import ListError
+from lupinlink.net.handover.capacity import Capacity, Limits, Usage, capacity_for, shrunk, usage
 from lupinlink.net.handover.channel import Channel, Doorstep, call, place
-from lupinlink.net.handover.room import Held, Limits, Room, held, room, shrunk
 from lupinlink.net.handover.upgrade import Upgrade
-from lupinlink.net.parts import Parts
 from lupinlink.net.process import resident_mb
-from lupinlink.net.typed import Port
+from lupinlink.net.twisted_types import Port
 from lupinlink.settings import Config, SettingsError
 
 log = logging.getLogger("lupinlink.net.service")
 UPGRADE_MS = 100.0  # how often an upgrade's state is looked at
 
 
-class Premises:
+class ListenerTakeover:
     """House of an upgrade: what it asks of this process."""
 
     def __init__(
         self,
         config: Config,
         limits: Limits,
-        now: Room,
-        parts: Parts,
+        now: Capacity,
+        parts: Components,
         told: Callable[[bool], None],
         see_off: Callable[[], None],
     ) -> None:
         """``told``: drain (True) or serve again; ``see_off``: clients are to go from now on."""
-        self._config, self._limits, self.room = config, limits, now
+        self._config, self._limits, self.capacity = config, limits, now
         self._told, self._see_off = told, see_off
         self._reactor, self._clock, self._lifecycle = parts.reactor, parts.clock, parts.lifecycle
         self._servers, self._discovery_client, self._proxy, self._clients = (
@@ -147,7 +147,7 @@
 
     def _beside_old(self) -> None:
         """Until the old process tells what it holds, next to nothing is left."""
-        self.beside(held(self._limits, room(self._limits), self._limits.memory_mb))
+        self.beside(usage(self._limits, capacity_for(self._limits), self._limits.memory_mb))
 
     def _serve(self) -> None:
         """Take clients; beside an old process only once a request could be served."""
@@ -179,28 +179,28 @@
 
     def taken_back(self) -> None:
         """The successor has gone before us."""
-        self._lifecycle.take_back()
-        self._resize(room(self._limits))
+        self._lifecycle.cancel_handover()
+        self._resize(capacity_for(self._limits))
         self._clients.listen()
         if self._doorstep is not None:
             self._doorstep.open()
 
-    def beside(self, other: Held | None) -> None:
+    def beside(self, other: Usage | None) -> None:
         """The rest of the proxy's limits is ours."""
         if not self._lifecycle.handed_over:
-            self._resize(room(self._limits, other))
+            self._resize(capacity_for(self._limits, other))
 
-    def holds(self) -> Held:
+    def holds(self) -> Usage:
         """What this process holds, and no more than that from here on."""
         counts = len(self._clients.connections), len(self._servers.connections), self._proxy.open
-        self._resize(shrunk(self._limits, *counts, self.room.spare_mb))
-        return held(self._limits, self.room, resident_mb())
+        self._resize(shrunk(self._limits, *counts, self.capacity.spare_mb))
+        return usage(self._limits, self.capacity, resident_mb())
 
     def told(self, drain: bool) -> None:
         """A call that reached the old process."""
         self._told(drain)
 
-    def _resize(self, now: Room) -> None:
-        self.room = now
+    def _resize(self, now: Capacity) -> None:
+        self.capacity = now
         self._clients.resize(now.clients, now.spare_mb)
         self._servers.resize(now.servers)
--- a/lupinlink/net/loop_turns.py
+++ b/lupinlink/net/loop_iterations.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 log = logging.getLogger(__name__)
-LONG_TURN_MS = 100.0  # from here on a turn is logged
+LONG_ITERATION_MS = 100.0  # from here on a turn is logged
 WINDOW_MS = 1000.0  # the longest turn is told for each such span; at most one line in it
 OTHER = "sockets"  # a turn's time outside of all named steps
 
 
-class LoopTurns:
+class LoopIterations:
     """Measures each turn from the end of the reactor's wait to the beginning of the next one."""
 
     def __init__(self, monotonic_ms: Callable[[], float] = lambda: time.monotonic() * 1000.0) -> None:
@@ -56,7 +56,7 @@
         if took_ms > self._longest:
             self._longest, self._what = took_ms, self._largest_step(took_ms)
             self.longest_ms = max(self.longest_ms, took_ms)
-        self.long_turns += took_ms >= LONG_TURN_MS
+        self.long_turns += took_ms >= LONG_ITERATION_MS
 
     def gauges(self) -> dict[str, int]:
         """The longest turn of the last whole second and since the start, and how many were long."""
@@ -71,7 +71,7 @@
         return max(steps, key=steps.__getitem__)
 
     def _close_window(self, now: float) -> None:
-        if self._longest >= LONG_TURN_MS:
+        if self._longest >= LONG_ITERATION_MS:
             kv = {"longest_ms": int(self._longest), "mostly": self._what, "long_turns": self.long_turns}
             log.warning("event loop was held up", extra={"kv": kv})
         self._last_window, self._longest, self._what = self._longest, 0.0, ""
@@ -81,7 +81,7 @@
 class TimedPoller:
     """A reactor's poller that tells when a wait begins and ends; all else is handed through."""
 
-    def __init__(self, poller: Any, turns: LoopTurns) -> None:
+    def __init__(self, poller: Any, turns: LoopIterations) -> None:
         self._poller, self._turns = poller, turns
 
     def poll(self, *words: Any) -> Any:
@@ -96,7 +96,7 @@
         return getattr(self._poller, name)
 
 
-def measure(reactor: Any, turns: LoopTurns) -> None:
+def measure(reactor: Any, turns: LoopIterations) -> None:
     """Measure this reactor's turns from now on, if it waits by a poller of the operating system."""
     poller = getattr(reactor, "_poller", None)
     if hasattr(poller, "poll"):
--- a/lupinlink/net/management.py
+++ b/lupinlink/net/management.py
@@ -10,8 +10,8 @@
 
 from lupinlink.net import http1
 from lupinlink.net.counters import Counters
-from lupinlink.net.typed import Transport
-from lupinlink.net.wheel import Clockwork, Timer
+from lupinlink.net.timer_wheel import ReactorClock, Timer
+from lupinlink.net.twisted_types import Transport
 
 log = logging.getLogger(__name__)
 CALL_MS = 10000.0  # some callers take seconds before they ask; nobody in earnest takes so long
@@ -91,7 +91,7 @@
     noisy = False
 
     def __init__(
-        self, calls: Calls, most: int, clock: Clockwork, counters: Counters, most_body: int = MOST_BODY
+        self, calls: Calls, most: int, clock: ReactorClock, counters: Counters, most_body: int = MOST_BODY
     ) -> None:
         """``most``: callers at once; ``most_body``: bytes of a call's body."""
         self.clock, self.most_body = clock, most_body
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -13,22 +13,22 @@
 from twisted.internet.error import CannotListenError
 
 from lupinlink.net import log as logs
+from lupinlink.net.components import build
 from lupinlink.net.discovery_client import ListError
-from lupinlink.net.handover.room import LEAST_CONNECTIONS, Limits, room
+from lupinlink.net.handover.capacity import MIN_CONNECTIONS, Limits, capacity_for
 from lupinlink.net.http1 import MAX_BODY
 from lupinlink.net.leavers import Leavers
-from lupinlink.net.loop_turns import measure
+from lupinlink.net.listener_takeover import ListenerTakeover
+from lupinlink.net.loop_iterations import measure
 from lupinlink.net.management import MOST_BODY, Management, most_callers, yes_or_no
 from lupinlink.net.management import Call as DoorCall
-from lupinlink.net.parts import build
-from lupinlink.net.premises import Premises
 from lupinlink.net.process import allowed, collect_by_time, resident_mb
-from lupinlink.net.typed import Reactor
+from lupinlink.net.twisted_types import Reactor
 from lupinlink.settings import Config, SettingsError
 
 if TYPE_CHECKING:
-    from lupinlink.net.hosting import Hosting
-    from lupinlink.net.seam import FleetSide
+    from lupinlink.net.fleet_extension import FleetExtension
+    from lupinlink.net.fleet_host import FleetHost
 
 log = logging.getLogger(__name__)
 FIXED = ("name", "listen", "mgmt", "sockets", "memory_mb", "settings")  # what a reload cannot change
@@ -39,7 +39,11 @@
     """Puts the parts together and takes them down again."""
 
     def __init__(
-        self, config: Config, reactor: Reactor, load: Callable[[], Config], fleet: FleetSide | None = None
+        self,
+        config: Config,
+        reactor: Reactor,
+        load: Callable[[], Config],
+        fleet: FleetExtension | None = None,
     ) -> None:
         """``load`` reads the configuration anew; ``fleet``: what a fleet file adds."""
         self._config, self._reactor, self._load = config, reactor, load
@@ -47,8 +51,8 @@
         reactor.seconds = time.monotonic
         sockets = allowed(config.sockets)
         limits = Limits(sockets, config.memory_mb, most_callers(sockets) if config.mgmt else 0)
-        now = room(limits)
-        if now.clients + now.servers < LEAST_CONNECTIONS:
+        now = capacity_for(limits)
+        if now.clients + now.servers < MIN_CONNECTIONS:
             raise SettingsError(f"limits leave room for {max(0, now.clients + now.servers)} connections only")
         parts = self._parts = build(config, reactor, now)
         self._counters, self._lifecycle, self._discovery_client = (
@@ -57,7 +61,7 @@
             parts.discovery_client,
         )
         self._leavers = Leavers(parts, self._leave)
-        self._premises = Premises(config, limits, now, parts, self._told, self._leavers.watch)
+        self._premises = ListenerTakeover(config, limits, now, parts, self._told, self._leavers.watch)
         calls: dict[str, dict[str, DoorCall]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
             "/control/out-of-service": {"PUT": yes_or_no(self._out_of_service)},
@@ -69,11 +73,11 @@
         most_body = MAX_BODY if self._hosting is not None else MOST_BODY
         self._door = Management(calls, most_callers(sockets), parts.clock, self._counters, most_body)
 
-    def _host(self, fleet: FleetSide) -> Hosting:
+    def _host(self, fleet: FleetExtension) -> FleetHost:
         """Our side of the seam."""
-        from lupinlink.net.hosting import Acts, Hosting
+        from lupinlink.net.fleet_host import Acts, FleetHost
 
-        return Hosting(
+        return FleetHost(
             fleet, self._config, self._parts, Acts(self._out_of_service, self._in_service, self._stop)
         )
 
@@ -111,7 +115,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._on_stop)
         collect_by_time(self._parts.clock)
-        measure(self._reactor, self._parts.clock.turns)
+        measure(self._reactor, self._parts.clock.iterations)
         if self._hosting is not None:
             self._hosting.start()
 
@@ -146,11 +150,11 @@
             servers_ready=self._discovery_client.ready,
             servers_listed=len(self._discovery_client),
             deadlines=len(parts.clock.deadlines),
-            timers=len(parts.clock.wheel),
+            timers=len(parts.clock.timer_wheel),
             **parts.clients.gauges(),
             **self._door.gauges(),
             resident_mb=int(resident_mb()),
-            **parts.clock.turns.gauges(),
+            **parts.clock.iterations.gauges(),
             **parts.servers.gauges(),
             **parts.proxy.gauges(),
         )
@@ -192,7 +196,7 @@
         self._reactor.stop()
 
 
-def serve(config: Config, load: Callable[[], Config], fleet: FleetSide | None = None) -> int:
+def serve(config: Config, load: Callable[[], Config], fleet: FleetExtension | None = None) -> int:
     """Run one proxy in this process; ``load`` reads its configuration anew, ``fleet`` is a fleet file's."""
     from twisted.internet import reactor
 
--- a/lupinlink/net/socket_peek.py
+++ b/lupinlink/net/socket_peek.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from lupinlink.net.typed import Transport
+from lupinlink.net.twisted_types import Transport
 
 
 def peek(transport: Transport) -> bytes | None:
--- a/lupinlink/net/wheel.py
+++ b/lupinlink/net/timer_wheel.py
@@ -9,12 +9,12 @@
 from twisted.internet.base import DelayedCall
 
 from lupinlink.net.deadlines import Deadlines
-from lupinlink.net.loop_turns import LoopTurns
-from lupinlink.net.typed import Reactor
+from lupinlink.net.loop_iterations import LoopIterations
+from lupinlink.net.twisted_types import Reactor
 
 log = logging.getLogger(__name__)
 TICK_MS = 5.0  # the tick of the simulator, under which the decisions were tuned
-SPOKES = 1024  # a turn of about 5 s; longer timers wait for their turn
+WHEEL_SLOTS = 1024  # a turn of about 5 s; longer timers wait for their turn
 
 
 class Timer:
@@ -30,11 +30,11 @@
         self.call = None
 
 
-class Wheel:
+class TimerWheel:
     """Never early, at most one tick late."""
 
     def __init__(self, now_ms: float) -> None:
-        self._spokes: list[list[Timer]] = [[] for _ in range(SPOKES)]
+        self._spokes: list[list[Timer]] = [[] for _ in range(WHEEL_SLOTS)]
         self._done = int(now_ms // TICK_MS)  # the last tick that was run
         self._count = 0
 
@@ -43,15 +43,15 @@
 
     def add(self, at_ms: float, call: Callable[[], None]) -> Timer:
         timer = Timer(max(self._done + 1, int(-(-at_ms // TICK_MS))), call)
-        self._spokes[timer.tick % SPOKES].append(timer)
+        self._spokes[timer.tick % WHEEL_SLOTS].append(timer)
         self._count += 1
         return timer
 
     def next_at(self) -> float | None:
         """The next tick that may have something: no more than a turn away."""
         if self._count:
-            for tick in range(self._done + 1, self._done + SPOKES + 1):
-                if self._spokes[tick % SPOKES]:
+            for tick in range(self._done + 1, self._done + WHEEL_SLOTS + 1):
+                if self._spokes[tick % WHEEL_SLOTS]:
                     return tick * TICK_MS
         return None
 
@@ -59,18 +59,18 @@
         """Take out what has come due; after a long gap each spoke is looked at once."""
         last = int(now_ms // TICK_MS)
         timers: list[Timer] = []
-        for tick in range(max(self._done + 1, last - SPOKES + 1), last + 1):
-            spoke = self._spokes[tick % SPOKES]
+        for tick in range(max(self._done + 1, last - WHEEL_SLOTS + 1), last + 1):
+            spoke = self._spokes[tick % WHEEL_SLOTS]
             if spoke:
                 timers += [t for t in spoke if t.tick <= last]
-                self._spokes[tick % SPOKES] = [t for t in spoke if t.tick > last]
+                self._spokes[tick % WHEEL_SLOTS] = [t for t in spoke if t.tick > last]
         self._done = max(self._done, last)
         self._count -= len(timers)
         timers.sort(key=lambda t: t.tick)
         return [t.call for t in timers if t.call is not None]
 
 
-class Clockwork:
+class ReactorClock:
     """The clock, the deadlines and the wheel behind one reactor call.
 
     The clock is Unix time at the start plus monotonic time since: a wall clock that steps back must
@@ -81,8 +81,8 @@
         self._reactor = reactor
         self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
         self.deadlines = Deadlines()
-        self.turns = LoopTurns()
-        self.wheel = Wheel(self.now())
+        self.iterations = LoopIterations()
+        self.timer_wheel = TimerWheel(self.now())
         self._call: DelayedCall | None = None
         self._call_at = 0.0
 
@@ -102,7 +102,7 @@
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> Timer:
         """A coarse timer."""
-        timer = self.wheel.add(self.now() + delay_ms, call)
+        timer = self.timer_wheel.add(self.now() + delay_ms, call)
         self._plan(timer.tick * TICK_MS)
         return timer
 
@@ -116,7 +116,7 @@
 
     def _run_due(self) -> None:
         now = self.now()
-        for call in self.deadlines.due(now) + self.wheel.due(now):
+        for call in self.deadlines.due(now) + self.timer_wheel.due(now):
             try:
                 call()
             except Exception:  # one broken callback must not stop every timer of the program
@@ -124,8 +124,8 @@
 
     def _run(self) -> None:
         self._call = None
-        with self.turns.step("timers"):
+        with self.iterations.step("timers"):
             self._run_due()
-        times = [at for at in (self.deadlines.next_at(), self.wheel.next_at()) if at is not None]
+        times = [at for at in (self.deadlines.next_at(), self.timer_wheel.next_at()) if at is not None]
         if times:
             self._plan(min(times))
--- a/lupinlink/net/watch.py
+++ b/lupinlink/net/watch.py
@@ -16,10 +16,10 @@
 from lupinlink.net import http1
 from lupinlink.net.lists import MAX_LIST, ListError, Objects
 from lupinlink.net.socket_peek import peek
-from lupinlink.net.typed import READ_BYTES, Connector, Reactor, Transport
+from lupinlink.net.timer_wheel import ReactorClock, Timer
+from lupinlink.net.twisted_types import READ_BYTES, Connector, Reactor, Transport
 from lupinlink.net.watch_dial import WatchDial
 from lupinlink.net.watch_listener import Listener, WatchEnd
-from lupinlink.net.wheel import Clockwork, Timer
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
     def __init__(
         self,
         listener: Listener,
-        clock: Clockwork,
+        clock: ReactorClock,
         times: DiscoveryTimes,
         address: tuple[str, int],
         whole: bool,
@@ -123,7 +123,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         if not self._over:
-            with self._clock.turns.step("discovery"):
+            with self._clock.iterations.step("discovery"):
                 self._take_bytes(data)
 
     def _take_bytes(self, data: bytes) -> None:
--- a/lupinlink/net/watch_dial.py
+++ b/lupinlink/net/watch_dial.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from lupinlink.net.typed import Connector
+from lupinlink.net.twisted_types import Connector
 
 if TYPE_CHECKING:
     from lupinlink.net.watch import Watch
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -20,7 +20,7 @@
 from lupinlink.coordination.ledger import Saved
 from lupinlink.coordination.memory import MemoryService, MemoryWire
 from lupinlink.coordination.pace import Pacing
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 from tests.stage import ROOT
 
 PACING = Pacing(ask_ms=20.0, wait_ms=150.0, again_ms=50.0)
@@ -32,7 +32,7 @@
     """The form in memory."""
 
     def __init__(self) -> None:
-        self.clock = Clockwork(reactor)
+        self.clock = ReactorClock(reactor)
         self._service = MemoryService(self.clock, LOCK_DELAY_MS, late=1.5)
         self._wires: list[MemoryWire] = []
         self._saved = Saved(1)
@@ -87,7 +87,7 @@
             )  # fmt: skip
             assert kind._process.stdout is not None
             kind._ports = json.loads(kind._process.stdout.readline())
-        self.clock = Clockwork(reactor)
+        self.clock = ReactorClock(reactor)
         self._prefix = f"run{next(self._run)}/"
         self._hosts: list[str] = []
         self._wires: list[ConsulWire] = []
--- a/tests/discovery_drive.py
+++ b/tests/discovery_drive.py
@@ -9,8 +9,8 @@
 from unittest import mock
 
 from lupinlink.net.bodies import Body
-from lupinlink.net.handover.room import Room
-from lupinlink.net.parts import Parts, build
+from lupinlink.net.components import Components, build
+from lupinlink.net.handover.capacity import Capacity
 from lupinlink.net.terms import Call, Failure, Reply
 from lupinlink.settings import Config, Effect, RequestClass, Settings, Tenant
 from tests.drain_script import Script
@@ -89,7 +89,7 @@
         self._discovery = SimulatedDiscovery(script, self.clock, self.oracle)
         self._where, self._number = 0, 0
         self._answers: dict[str, int] = {}
-        self._parts: Parts | None = None
+        self._parts: Components | None = None
         self._reactor: MemoryReactor | None = None
         self._fed: list[float] = []
         told_by_time = [after_outages(change.at, outages) + LATEST_MS for change in script.changes]
@@ -108,7 +108,7 @@
 
     def run(self) -> Result:
         """Play it to its end."""
-        with mock.patch("lupinlink.net.wheel.time", self.clock):
+        with mock.patch("lupinlink.net.timer_wheel.time", self.clock):
             self._start()
             next_request = 0.0
             while self.clock.now < self._end():
@@ -160,7 +160,7 @@
         address = ADDRESSES[self._where]
         config = Config("n1", ("10.0.0.1", 1), address, self._script.seed, 1024, 192.0, known, settings)
         self._reactor = MemoryReactor(self.clock, self._dial)
-        self._parts = build(config, self._reactor, Room(100, 100, 32.0))  # type: ignore[arg-type]
+        self._parts = build(config, self._reactor, Capacity(100, 100, 32.0))  # type: ignore[arg-type]
         self._parts.discovery_client.start(known)
 
     def _die(self) -> None:
--- a/tests/loaded_modules.py
+++ b/tests/loaded_modules.py
@@ -7,7 +7,7 @@
 
 from lupinlink.cli import main
 
-NOT_PLAIN = ("coordination", "config", "release", "quota", "migration", "net.fleet", "net.hosting")
+NOT_PLAIN = ("coordination", "config", "release", "quota", "migration", "net.fleet", "net.fleet_host")
 LIBRARIES = ("msgspec", "treq", "lark", "aiohttp", "xxhash")
 
 
--- a/tests/recorded_reactor.py
+++ b/tests/recording_reactor.py
@@ -4,22 +4,22 @@
 
 from collections.abc import Callable
 
-from lupinlink.net.loop_turns import LoopTurns
+from lupinlink.net.loop_iterations import LoopIterations
+from lupinlink.net.timer_wheel import Timer
 from lupinlink.net.watch import Watch
 from lupinlink.net.watch_dial import WatchDial
-from lupinlink.net.wheel import Timer
 
 
-class Recorded:
+class RecordingReactor:
     """A reactor and a clock that only take down what they are asked."""
 
     def __init__(self) -> None:
         self.dials: list[Watch] = []
         self.timers: list[tuple[float, Timer]] = []
         self.time = 1000.0
-        self.turns = LoopTurns()
+        self.iterations = LoopIterations()
 
-    def connectTCP(self, host: str, port: int, factory: WatchDial, timeout: object) -> Recorded:  # noqa: N802
+    def connectTCP(self, host: str, port: int, factory: WatchDial, timeout: object) -> RecordingReactor:  # noqa: N802
         self.dials.append(factory.buildProtocol(None))
         return self
 
--- a/tests/fleet_side.py
+++ b/tests/scripted_extension.py
@@ -15,8 +15,8 @@
 
 from lupinlink.commands.told import told_off
 from lupinlink.coordination.part import Answer, Ask, DoorCalls
+from lupinlink.net.fleet_extension import ExtensionHost, Refusal
 from lupinlink.net.proxy import Call
-from lupinlink.net.seam import Host, Refusal
 from lupinlink.net.service import serve
 from lupinlink.settings import SettingsError, load_config
 
@@ -25,11 +25,11 @@
     """FleetSide of the seam."""
 
     def __init__(self) -> None:
-        self._host: Host | None = None
+        self._host: ExtensionHost | None = None
         self._asked: list[str] = []
         self._settled: list[str] = []
 
-    def started(self, host: Host) -> None:
+    def started(self, host: ExtensionHost) -> None:
         self._host = host
 
     def stopping(self) -> None:
@@ -54,7 +54,7 @@
         host = self._host
         assert host is not None
         told = {
-            **asdict(host.gauges()), "name": host.name, "stand": host.stand.value, "drained": host.drained,
+            **asdict(host.gauges()), "name": host.name, "stand": host.state.value, "drained": host.drained,
             "ready": host.ready, "ends_soon": host.ends_soon, "uses": dict(host.use()),
             "outcomes": host.outcomes(), "held": sorted(host.busy()),
             "servers": host.servers(), "asked": self._asked, "settled": self._settled,
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -21,7 +21,7 @@
 from lupinlink.net.bodies import SMALL_BYTES, Body
 from lupinlink.net.counters import Counters
 from lupinlink.net.terms import AttemptEnd, Call
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.settings import RequestClass, Settings
 from tests.peers import OK, WAIT
 
@@ -36,7 +36,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.listener.close)
         told = Settings(classes=(RequestClass(300.0, 1000.0),), dial_timeout_ms=LONG_MS)
-        self.clock = Clockwork(self.reactor)
+        self.clock = ReactorClock(self.reactor)
         self.servers = ApplicationServers(self.reactor, self.clock, told, 8, Counters())
         self.learn()
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -15,11 +15,11 @@
 from lupinlink.net.application_servers import ApplicationServers
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
-from lupinlink.net.typed import Reactor
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import Reactor
 from lupinlink.net.watch import Watch
-from lupinlink.net.wheel import Clockwork
 from tests.helpers import SAFE
-from tests.recorded_reactor import Recorded
+from tests.recording_reactor import RecordingReactor
 from tests.stage import chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -44,8 +44,8 @@
     peers = 1
 
     def setUp(self) -> None:
-        self.seen = Recorded()
-        clock, reactor = cast(Clockwork, self.seen), cast(Reactor, self.seen)
+        self.seen = RecordingReactor()
+        clock, reactor = cast(ReactorClock, self.seen), cast(Reactor, self.seen)
         settings = Settings(classes=(SAFE,), subscribe=self.subscribe, peers=self.peers)
         counters = Counters()
         servers = ApplicationServers(reactor, clock, settings, 8, counters)
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -10,8 +10,8 @@
 import time
 from typing import Any, ClassVar
 
-from lupinlink.net.handover.room import Limits, room
-from lupinlink.net.typed import READ_BYTES
+from lupinlink.net.handover.capacity import Limits, capacity_for
+from lupinlink.net.twisted_types import READ_BYTES
 from tests.stage import NEVER_RAN, OK, SETTINGS, WAIT, ApplicationServer, Stage, chunk, listing, row
 
 HEAD = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: "
@@ -180,5 +180,6 @@
         while self.gauges().get("made_room", 0) < 200:
             self.assertLess(time.monotonic(), until)
             most = max(most, len(os.listdir(folder)))
-        self.assertLessEqual(most, 128 - room(Limits(128, 32.0, 0)).servers)  # those stay free for servers
+        # Those stay free for servers.
+        self.assertLessEqual(most, 128 - capacity_for(Limits(128, 32.0, 0)).servers)
         del crowd
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -17,7 +17,7 @@
 from lupinlink.net.counters import Counters
 from lupinlink.net.leavers import Leavers
 from lupinlink.net.lifecycle import STOP_IDLE_MS, Lifecycle
-from lupinlink.net.wheel import Clockwork
+from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.settings import RequestClass, Settings
 from tests.stage import WAIT, ApplicationServer, Stage, row
 
@@ -42,7 +42,7 @@
         state.serve()
         state.hand_over(0.0)
         state.stop(10.0)
-        self.assertEqual(state.idle_from(), 10.0 + 1400.0)
+        self.assertEqual(state.close_idle_from(), 10.0 + 1400.0)
 
 
 class Stopping(Stage):
@@ -77,7 +77,7 @@
 
     def setUp(self) -> None:
         reactor, settings = cast(Any, Clock()), Settings(classes=(RequestClass(300.0, 1000.0),))
-        self.clock, self.lifecycle = Clockwork(reactor), Lifecycle(1000.0)
+        self.clock, self.lifecycle = ReactorClock(reactor), Lifecycle(1000.0)
         self.proxy = cast(Any, SimpleNamespace(open=0, end_all=lambda: None))
         self.clients = Clients(
             self.proxy, cast(Any, None), self.clock, settings, self.lifecycle, 8, 8.0, Counters()
--- a/tests/test_seam.py
+++ b/tests/test_fleet_extension.py
@@ -18,7 +18,7 @@
 class Fleet(Stage):
     """A proxy with a fleet side, and two application servers."""
 
-    module: ClassVar[str] = "tests.fleet_side"
+    module: ClassVar[str] = "tests.scripted_extension"
     settings: ClassVar[dict[str, Any]] = {"ReportsIn": "answer"}
 
     def setUp(self) -> None:
@@ -108,7 +108,7 @@
 class FleetDoor(test_operations.Door):
     """The door keeps its rules with a fleet side behind it."""
 
-    module: ClassVar[str] = "tests.fleet_side"
+    module: ClassVar[str] = "tests.scripted_extension"
 
 
 class FleetCalls(Fleet):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,8 +18,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lupinlink.net.handover.capacity import MIN_BESIDE, Limits, Usage, capacity_for, reserve, shrunk, usage
 from lupinlink.net.handover.messages import HandoverError, Reader, line, refusal
-from lupinlink.net.handover.room import LEAST_BESIDE, Held, Limits, held, reserve, room, shrunk
 from lupinlink.net.handover.upgrade import ANSWER_MS, WAIT_MS, Upgrade
 from tests.stage import OK, WAIT, ApplicationServer, Stage, row
 
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self.did: list[object] = []
-        self.held = Held(50, 20.0)
+        self.usage = Usage(50, 20.0)
 
     def offered(self) -> tuple[int, dict[str, Any]]:
         return 0, {}
@@ -57,11 +57,11 @@
     def taken_back(self) -> None:
         self.did.append("taken back")
 
-    def beside(self, other: Held | None) -> None:
+    def beside(self, other: Usage | None) -> None:
         self.did.append(other)
 
-    def holds(self) -> Held:
-        return self.held
+    def holds(self) -> Usage:
+        return self.usage
 
     def told(self, drain: bool) -> None:
         self.did.append(("told", drain))
@@ -82,7 +82,7 @@
         self.of.heard(self.link, {"say": "ready"}, None, 1.0)
         self.assertEqual((self.link.said, self.house.did), (["offer", "holds"], ["handed over"]))
         self.of.tick(2.0)
-        self.house.held = Held(10, 20.0)
+        self.house.usage = Usage(10, 20.0)
         self.of.tick(3.0)
         self.of.pass_on(drain=True)
         self.assertEqual(self.link.said, ["offer", "holds", "holds", "drain"])
@@ -123,7 +123,7 @@
             self.of.heard(self.link, message, None, 2.0)
         self.of.ended(self.link)
         self.assertEqual(self.link.said, ["hello", "ready"])
-        self.assertEqual(self.house.did, [("move in", None), Held(7, 20.0), ("told", True), None])
+        self.assertEqual(self.house.did, [("move in", None), Usage(7, 20.0), ("told", True), None])
 
     def test_only_a_process_of_this_proxy_is_a_successor(self) -> None:
         self.assertEqual(refusal(self.hello, "n1"), "")
@@ -161,13 +161,13 @@
         self, sockets: int, memory: float, agents: int, servers: int, calls: int
     ) -> None:
         limits = Limits(sockets, memory, 4)
-        alone = room(limits)
+        alone = capacity_for(limits)
         old = shrunk(limits, min(agents, alone.clients), min(servers, alone.servers), calls, 1.0)
-        told = held(limits, old, 22.0)
-        new = room(limits, told)
+        told = usage(limits, old, 22.0)
+        new = capacity_for(limits, told)
         self.assertLessEqual(old.clients + old.servers, max(2, alone.clients + alone.servers))
         both = told.descriptors + new.clients + new.servers + reserve(limits)
-        self.assertLessEqual(both, max(sockets, told.descriptors + reserve(limits) + LEAST_BESIDE))
+        self.assertLessEqual(both, max(sockets, told.descriptors + reserve(limits) + MIN_BESIDE))
 
 
 class Upgraded(Stage):
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -16,7 +16,7 @@
 from lupinlink.net.counters import Counters
 from lupinlink.settings import Settings
 from tests.helpers import SAFE
-from tests.recorded_reactor import Recorded
+from tests.recording_reactor import RecordingReactor
 
 
 @dataclass(eq=False)
@@ -58,7 +58,7 @@
 
 # Guards against a pass over thousands of pools four times a second, and for each connection over the cap.
 def test_idle_connections_are_closed_in_time_without_a_pass_over_all_pools() -> None:
-    seen = Recorded()
+    seen = RecordingReactor()
     settings = Settings(classes=(SAFE,), idle_close_ms=1000.0)
     servers = ApplicationServers(cast(Any, seen), cast(Any, seen), settings, 8, Counters())
     servers._pools = pools = WatchedPools()
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -23,7 +23,7 @@
 from lupinlink.net.log import pair
 from lupinlink.net.proxy import AttemptEnd, Call, Failure, Proxy, Reply
 from lupinlink.net.slots import Slots
-from lupinlink.net.wheel import SPOKES, TICK_MS, Clockwork, Wheel
+from lupinlink.net.timer_wheel import TICK_MS, WHEEL_SLOTS, ReactorClock, TimerWheel
 from lupinlink.settings import Effect, RequestClass, Scope, Settings
 
 STREAM = (
@@ -109,9 +109,9 @@
         self.assertEqual((seen, len(deadlines)), ([2, 1], 1))
 
     def test_the_wheel_is_never_early_and_at_most_a_tick_late(self) -> None:
-        wheel, now = Wheel(0.0), 0.0
+        wheel, now = TimerWheel(0.0), 0.0
         late: list[float] = []
-        for delay in (0.0, 3.0, 5.0, 12.0, 700.0, TICK_MS * SPOKES, TICK_MS * SPOKES * 2.5):
+        for delay in (0.0, 3.0, 5.0, 12.0, 700.0, TICK_MS * WHEEL_SLOTS, TICK_MS * WHEEL_SLOTS * 2.5):
             wheel.add(delay, lambda d=delay: late.append(now - d))  # type: ignore[misc]
         dropped = wheel.add(10.0, lambda: late.append(-1.0))
         dropped.drop()
@@ -180,7 +180,7 @@
         keyed = RequestClass(300.0, 1000.0, 1.0, 0.0, Effect.KEYED, Scope.ZONE, 500.0)
         self.servers, self.side, self.counters = Servers(), Side(), Counters()
         told = Settings(classes=(keyed,), max_attempts=3, may_cancel=True)
-        clock = Clockwork(reactor)
+        clock = ReactorClock(reactor)
         self.proxy = Proxy(told, 1, clock, self.servers, lambda: None, self.counters)
         self.proxy.news(MembershipKind.FULL, [Endpoint("a")])
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,7 +16,7 @@
     QUIET_MS,
     STOP_IDLE_MS,
     Lifecycle,
-    Stand,
+    LifecycleState,
 )
 from tests.stage import OK, WAIT, ApplicationServer, Stage, row
 
@@ -29,12 +29,14 @@
     def test_a_new_process_is_sent_nobody_until_its_list_is_settled(self) -> None:
         new = Lifecycle()
         new.serve()
-        self.assertEqual((new.up(1), new.ready(1), new.keeps()), (False, True, True))
+        self.assertEqual((new.up(1), new.ready(1), new.keeps_connections()), (False, True, True))
         new.settle_list()
         self.assertEqual((new.up(1), new.ready(1)), (True, True))
 
     def test_nothing_is_promised_before_the_listener_stands_or_without_servers(self) -> None:
-        self.assertEqual((self.of.up(1), self.of.ready(1), self.of.stand), (False, False, Stand.STARTING))
+        self.assertEqual(
+            (self.of.up(1), self.of.ready(1), self.of.state), (False, False, LifecycleState.STARTING)
+        )
         self.of.serve()
         self.assertEqual((self.of.up(1), self.of.ready(1)), (True, True))
         self.assertEqual((self.of.up(0), self.of.ready(0)), (False, False))
@@ -43,12 +45,15 @@
         self.of.serve()
         self.of.out_of_service(1000.0)
         self.of.out_of_service(9000.0)
-        self.assertEqual((self.of.up(1), self.of.ready(1), self.of.keeps()), (False, True, False))
-        self.assertEqual(self.of.idle_from(), 1000.0 + DRAIN_IDLE_MS)
-        self.assertFalse(self.of.may_leave(1e9, 0))
+        self.assertEqual((self.of.up(1), self.of.ready(1), self.of.keeps_connections()), (False, True, False))
+        self.assertEqual(self.of.close_idle_from(), 1000.0 + DRAIN_IDLE_MS)
+        self.assertFalse(self.of.may_exit(1e9, 0))
         self.of.in_service()
         self.of.in_service()
-        self.assertEqual((self.of.up(1), self.of.keeps(), self.of.stand), (True, True, Stand.IN_SERVICE))
+        self.assertEqual(
+            (self.of.up(1), self.of.keeps_connections(), self.of.state),
+            (True, True, LifecycleState.IN_SERVICE),
+        )
 
     def test_a_stop_outweighs_a_drain_and_only_the_first_one_counts(self) -> None:
         self.of.serve()
@@ -56,21 +61,25 @@
         self.of.stop(100.0)
         self.of.stop(5000.0)
         self.of.in_service()
-        self.assertEqual((self.of.up(1), self.of.ready(1), self.of.stand), (False, False, Stand.STOPPING))
-        self.assertEqual(self.of.idle_from(), 100.0 + STOP_IDLE_MS)
-        self.assertEqual([self.of.last_call(100.0 + t) for t in (3399.0, 3400.0)], [False, True])
+        self.assertEqual(
+            (self.of.up(1), self.of.ready(1), self.of.state), (False, False, LifecycleState.STOPPING)
+        )
+        self.assertEqual(self.of.close_idle_from(), 100.0 + STOP_IDLE_MS)
+        self.assertEqual([self.of.must_answer_now(100.0 + t) for t in (3399.0, 3400.0)], [False, True])
         at = [(QUIET_MS - 1.0, 0), (QUIET_MS, 1), (QUIET_MS, 0), (3600.0, 1)]
-        self.assertEqual([self.of.may_leave(100.0 + t, left) for t, left in at], [False, False, True, True])
+        self.assertEqual([self.of.may_exit(100.0 + t, left) for t, left in at], [False, False, True, True])
 
     def test_with_a_successor_nobody_waits_for_newcomers_and_rests_run_out(self) -> None:
         self.of.serve()
         self.of.hand_over(0.0)
-        self.assertEqual((self.of.up(1), self.of.keeps(), self.of.may_leave(1.0, 0)), (True, False, False))
+        self.assertEqual(
+            (self.of.up(1), self.of.keeps_connections(), self.of.may_exit(1.0, 0)), (True, False, False)
+        )
         self.of.stop(10.0)
-        self.assertEqual(self.of.idle_from(), 10.0 + HANDED_IDLE_MS)
-        self.assertEqual([self.of.may_leave(11.0, left) for left in (1, 0)], [False, True])
-        self.of.take_back()
-        self.assertFalse(self.of.may_leave(11.0, 0))
+        self.assertEqual(self.of.close_idle_from(), 10.0 + HANDED_IDLE_MS)
+        self.assertEqual([self.of.may_exit(11.0, left) for left in (1, 0)], [False, True])
+        self.of.cancel_handover()
+        self.assertFalse(self.of.may_exit(11.0, 0))
 
 
 class UnderLoad(unittest.TestCase):
--- a/tests/told_lists.py
+++ b/tests/told_lists.py
@@ -19,12 +19,12 @@
 from lupinlink.net.application_servers import ApplicationServers
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
-from lupinlink.net.typed import Reactor
+from lupinlink.net.timer_wheel import ReactorClock
+from lupinlink.net.twisted_types import Reactor
 from lupinlink.net.watch import Watch
-from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import Settings
 from tests.helpers import SAFE
-from tests.recorded_reactor import Recorded
+from tests.recording_reactor import RecordingReactor
 from tests.stage import chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -52,12 +52,12 @@
     """A farm that holds s-1 and s-2 ready at version 41, and a watch that was asked for."""
 
     def setUp(self) -> None:
-        self.seen = Recorded()
+        self.seen = RecordingReactor()
         self.seen.time = 0.0
         self.module: dict[str, Endpoint] = {}
         self.news: list[MembershipKind] = []
         self.events: list[Membership | DiscoveryEvent] = []
-        clock, reactor = cast(Clockwork, self.seen), cast(Reactor, self.seen)
+        clock, reactor = cast(ReactorClock, self.seen), cast(Reactor, self.seen)
         settings = Settings(classes=(SAFE,), subscribe=True)
         self.counters = Counters()
         self.servers = ApplicationServers(reactor, clock, settings, 8, self.counters)
