--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -21,7 +21,7 @@
         self.period.arrivals += 1
         self.period.returned += request.arrival.is_retry
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
-        self.probe_some()
+        self.maybe_probe()
         if now >= self.selector.weights_due_at:
             self.look_ahead(now)
         bucket = self.shedding_order.count_arrival(request.arrival, self.rng)
--- a/lupinlink/brain/discovery_node.py
+++ b/lupinlink/brain/discovery_node.py
@@ -40,7 +40,7 @@
     def started(self, now: float) -> None:
         """Danger: nodes started together must not revise, nor call discovery, in step."""
         self.period.start = now
-        self.after(self.rng.uniform(0.2, 1.0) * self.span, self.end_period)
+        self.after(self.rng.uniform(0.2, 1.0) * self.period_ms, self.end_period)
         if self.settings.subscribe:
             self.discovery.started(now)
             self.plan_call(now)
--- a/lupinlink/brain/dispatching.py
+++ b/lupinlink/brain/dispatching.py
@@ -5,7 +5,7 @@
 
 from lupinlink.brain.discovery_node import DiscoveryNode
 from lupinlink.brain.health import MAX_EJECTED_SHARE
-from lupinlink.brain.retry_rules import begin_by, bound_to_cell, may_follow, may_follow_anywhere, may_refuse
+from lupinlink.brain.retry_rules import begin_by, bound_to_cell, may_retry_at, may_retry_anywhere, may_refuse
 from lupinlink.brain.server_selection import LATENCY, OVERDUE_GAIN
 from lupinlink.brain.waiting import WaitingFor, WaitingRequest, WaitingRequests
 from lupinlink.interface import Attempt, Cancel, Fail, RefusalCause, Refuse, Request, Server, Settings
@@ -60,7 +60,7 @@
 
     def try_send(self, request: Request, now: float) -> bool:
         """Send an attempt if a backend may take it."""
-        self.take_back(now)
+        self.readmit(now)
         server = self.find_backend(request, now)
         if server is not None:
             self.send(request, server, now)
@@ -123,7 +123,7 @@
         if not server.ready or any(a.server is server for a in request.attempts):
             return False
         # No second copies: they cost more than they save (docs/design.md).
-        harmless = all(may_follow(a, request.cls, server.row, now) for a in request.attempts)
+        harmless = all(may_retry_at(a, request.cls, server.row, now) for a in request.attempts)
         return harmless and self.slow_start.allows(server, now)
 
     def send(self, request: Request, server: Server, now: float) -> None:
@@ -241,10 +241,10 @@
 
     def may_go_elsewhere(self, request: Request, attempt: Attempt, now: float) -> bool:
         """Whether a usable server that has not had the request may have it after this attempt."""
-        if not may_follow_anywhere(attempt, request.cls, now):
+        if not may_retry_anywhere(attempt, request.cls, now):
             return False
         used = {a.server.row.name for a in request.attempts}  # by name: a restart makes none new
         row, stretch = bound_to_cell(request), self.selector.subset
         servers = stretch.usable() if row is None else stretch.cell(row.zone, row.cell)
         others = (s for s in servers if s.row.name not in used)
-        return any(may_follow(attempt, request.cls, s.row, now) for s in others)
+        return any(may_retry_at(attempt, request.cls, s.row, now) for s in others)
--- a/lupinlink/brain/retry_rules.py
+++ b/lupinlink/brain/retry_rules.py
@@ -1,34 +1,45 @@
-"""What may be tried again or turned away without a second effect; no decision on which server."""
+"""Rules for retries and refusals that rule out a second effect; they do not choose a server."""
 
 from lupinlink.interface import Attempt, Effect, Endpoint, Request, RequestClass, Scope
 
 
-def may_follow(a: Attempt, cls: RequestClass, row: Endpoint, now: float) -> bool:
-    """Whether an attempt at that endpoint after this one is no second effect."""
-    at, known = a.server.row, cls.effect == Effect.KEYED and now < a.sent_at + cls.dedup_ms
-    near = row.zone == at.zone and (cls.scope == Scope.ZONE or row.cell == at.cell)
-    return cls.effect == Effect.SAFE or not a.may_have_run() or (known and (near or cls.scope == Scope.ALL))
+def may_retry_at(attempt: Attempt, cls: RequestClass, endpoint: Endpoint, now: float) -> bool:
+    """Whether another attempt at ``endpoint`` after this one cannot cause a second effect."""
+    earlier, deduplicated = (
+        attempt.server.row,
+        cls.effect == Effect.KEYED and now < attempt.sent_at + cls.dedup_ms,
+    )
+    same_memory = endpoint.zone == earlier.zone and (cls.scope == Scope.ZONE or endpoint.cell == earlier.cell)
+    return (
+        cls.effect == Effect.SAFE
+        or not attempt.may_have_run()
+        or (deduplicated and (same_memory or cls.scope == Scope.ALL))
+    )
 
 
 def bound_to_cell(request: Request) -> Endpoint | None:
-    """Whose zone and cell a further attempt has to stay in; None: others may take it too, or none may."""
+    """The endpoint in whose zone and cell a further attempt has to stay; None if there is no such bound."""
     if request.cls.effect != Effect.KEYED or request.cls.scope != Scope.CELL:
         return None
-    return next((a.server.row for a in request.attempts if a.may_have_run()), None)
+    return next((attempt.server.row for attempt in request.attempts if attempt.may_have_run()), None)
 
 
-def may_follow_anywhere(a: Attempt, cls: RequestClass, now: float) -> bool:
-    """Whether an attempt at any endpoint at all after this one is no second effect."""
-    return may_follow(a, cls, a.server.row, now)
+def may_retry_anywhere(attempt: Attempt, cls: RequestClass, now: float) -> bool:
+    """Whether there is any endpoint where another attempt after this one cannot cause a second effect."""
+    return may_retry_at(attempt, cls, attempt.server.row, now)
 
 
 def begin_by(request: Request) -> float:
-    """Until when one more may arrive there: in time, and while repeats of what may have run are dropped."""
-    ran = [a.sent_at for a in request.attempts if a.may_have_run() and request.cls.effect == Effect.KEYED]
+    """Until when a further attempt may start: before the deadline and while servers still drop duplicates."""
+    ran = [
+        attempt.sent_at
+        for attempt in request.attempts
+        if attempt.may_have_run() and request.cls.effect == Effect.KEYED
+    ]
     return min([request.arrival.deadline, *(t + request.cls.dedup_ms for t in ran)])
 
 
 def may_refuse(request: Request) -> bool:
-    """The guard for every refusal, which says that trying again is harmless."""
-    cls, ran = request.cls, any(a.may_have_run() for a in request.attempts)
+    """Whether a request may be refused: a refusal promises the client that a retry is harmless."""
+    cls, ran = request.cls, any(attempt.may_have_run() for attempt in request.attempts)
     return not ran or cls.effect == Effect.SAFE or (cls.effect == Effect.KEYED and cls.scope == Scope.ALL)
--- a/lupinlink/brain/waiting.py
+++ b/lupinlink/brain/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait: for discovery to tell, or for a backend that may take them. Pure bookkeeping."""
+"""Requests that wait for a trusted list or for a backend with room. Only keeps the queues."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WaitingFor(Enum):
-    """What ends a request's wait."""
+    """What ends the wait of a request."""
 
     LIST = "discovery has told"
     BACKEND = "a backend may take it"
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingRequest:
-    """One request's wait."""
+    """A request and what it waits for."""
 
     request: Request
     cause: WaitingFor
 
     @property
     def name(self) -> str:
-        """The request's."""
+        """The request's id."""
         return self.request.arrival.request_id
 
 
@@ -38,37 +38,37 @@
         return sum(map(len, self._queues.values()))
 
     def add(self, request: Request, cause: WaitingFor) -> WaitingRequest:
-        """It waits from now on."""
+        """Queue a request."""
         waiting = WaitingRequest(request, cause)
         self._queues[cause][waiting.name] = waiting
         return waiting
 
     def move(self, waiting: WaitingRequest, cause: WaitingFor) -> None:
-        """It waits for something else now."""
+        """Move a waiting request to another queue."""
         self._queues[waiting.cause].pop(waiting.name, None)
         waiting.cause = cause
         self._queues[cause][waiting.name] = waiting
 
     def remove(self, request: Request) -> None:
-        """It waits no longer, if it did."""
+        """Drop a request from its queue, if it waits."""
         for queue in self._queues.values():
             queue.pop(request.arrival.request_id, None)
 
     def find(self, request: Request) -> WaitingRequest | None:
-        """Its wait, if it waits."""
+        """The entry of a request, or None if it does not wait."""
         for queue in self._queues.values():
             if (waiting := queue.get(request.arrival.request_id)) is not None:
                 return waiting
         return None
 
     def queue(self, cause: WaitingFor) -> list[WaitingRequest]:
-        """Those that wait for this, in their order."""
+        """The entries of a queue, oldest first."""
         return list(self._queues[cause].values())
 
     def newest(self, cause: WaitingFor) -> list[WaitingRequest]:
-        """The same, the newest first: under overload an answer to the oldest would come too late."""
+        """The same, newest first: under overload an answer to the oldest would come too late."""
         return self.queue(cause)[::-1]
 
     def any(self, cause: WaitingFor) -> bool:
-        """Whether a request waits for this."""
+        """Whether the queue has any request."""
         return bool(self._queues[cause])
