--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -23,7 +23,7 @@
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         self.maybe_probe()
         if now >= self.selector.weights_due_at:
-            self.look_ahead(now)
+            self.apply_foresight(now)
         bucket = self.shedding_order.count_arrival(request.arrival, self.rng)
         if self.admission.refusing and self.rng.random() >= self.shedding_order.admit_probability[bucket]:
             self.period.refused += 1
@@ -32,7 +32,7 @@
 
     def ended(self, request: Request, attempt: Attempt, event: Outcome, now: float) -> None:
         self.record_outcome(request, attempt, event, now)
-        self.freed(attempt.server, now)
+        self.server_freed(attempt.server, now)
         if request.done:
             return
         if event.status == Status.REJECTED:  # the request itself is unusable for any server
--- a/lupinlink/brain/discovery_node.py
+++ b/lupinlink/brain/discovery_node.py
@@ -1,10 +1,10 @@
-"""When discovery is called, and whether requests may be sent by its list: the node's side of the schedule."""
+"""The node's side of the discovery schedule: makes its calls and holds requests without a trusted list."""
 
 import math
 from random import Random
 
 from lupinlink.brain.discovery_schedule import DiscoverySchedule
-from lupinlink.brain.discovery_times import ENDED_TOLD_MS
+from lupinlink.brain.discovery_times import ENDED_NOTIFIED_MS
 from lupinlink.brain.load_monitoring import LoadMonitoringNode
 from lupinlink.interface import (
     DiscoveryCallAnswered,
@@ -25,20 +25,20 @@
 
 
 class DiscoveryNode(LoadMonitoringNode):
-    """Hands each event to the schedule, makes the calls that are due and logs whether the list is trusted."""
+    """Passes events to the discovery schedule, makes the calls that are due and logs changes of trust."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         super().__init__(settings, rng)
         self.discovery = DiscoverySchedule(settings, rng)
-        self.trust = ListTrust.CONFIRMED  # as last logged
-        self.wakes_at = math.inf  # for the next call to discovery
+        self.trust = ListTrust.CONFIRMED  # as logged last
+        self.wakes_at = math.inf  # when the next call to discovery may be due
 
-    def list_may_serve(self, now: float) -> None:
-        """Something has come of discovery: servers may be new, or requests be held no longer."""
+    def resume_waiting(self, now: float) -> None:
+        """News from discovery: servers may be new, or a hold may have ended."""
         raise NotImplementedError
 
     def started(self, now: float) -> None:
-        """Danger: nodes started together must not revise, nor call discovery, in step."""
+        """Start timers at random, as nodes started together must not revise admission in step."""
         self.period.start = now
         self.after(self.rng.uniform(0.2, 1.0) * self.period_ms, self.end_period)
         if self.settings.subscribe:
@@ -46,35 +46,35 @@
             self.plan_call(now)
 
     def list_news(self, event: Membership, now: float) -> None:
-        """Act at once on what changed."""
+        """Apply a change of the list at once."""
         self.selector.weights_due_at = now
         if event.kind == MembershipKind.FAILED:
-            self.discovery_news(self.ended_on_the_simulator(now), now)
+            self.discovery_news(self.simulator_failure(now), now)
         elif event.kind != MembershipKind.CACHED and event.current:
             self.discovery.confirmed(now)
-        self.note_trust(now)
-        self.list_may_serve(now)
+        self.log_trust(now)
+        self.resume_waiting(now)
 
-    def ended_on_the_simulator(self, now: float) -> DiscoveryEvent:
-        """Its one event for both: a subscription that dropped, or else a call that failed."""
+    def simulator_failure(self, now: float) -> DiscoveryEvent:
+        """The simulator has one event for a dropped subscription and a failed call: tell which it is."""
         if self.discovery.watching:
             return DiscoveryWatchEnded(heard_at=now, silent=False, may_have_news=False)
         return DiscoveryCallFailed(reached=False, answered=False, took_ms=0.0)
 
     def discovery_news(self, event: DiscoveryEvent, now: float) -> None:
-        """Hand it to the schedule, which may plan the next call."""
+        """Pass an event to the schedule, which may plan the next call."""
         match event:
             case DiscoveryMoved():
                 self.discovery.moved(now)
             case ProcessStarted():
                 self.discovery.restarted(now)
-                self.after(self.discovery.times.max_hold_ms, self.note_trust)  # though no request may come
+                self.after(self.discovery.times.max_hold_ms, self.log_trust)  # even if no request arrives
             case DiscoveryCallLate():
                 self.discovery.call_late(now)
             case DiscoveryCallReached():
                 self.discovery.call_reached(now, event)
                 if self.settings.subscribe:
-                    self.after(self.discovery.times.pending_hold_after_ms, self.note_trust)
+                    self.after(self.discovery.times.pending_hold_after_ms, self.log_trust)
             case DiscoveryCallAnswered():
                 self.discovery.call_answered(now)
             case DiscoveryPartial():
@@ -86,34 +86,34 @@
             case DiscoveryWatchEnded():
                 self.discovery.watch_ended(now, event)
                 if self.settings.subscribe and event.may_have_news:
-                    self.after(ENDED_TOLD_MS + self.discovery.times.pending_hold_after_ms, self.note_trust)
-        self.note_trust(now)
+                    self.after(ENDED_NOTIFIED_MS + self.discovery.times.pending_hold_after_ms, self.log_trust)
+        self.log_trust(now)
         self.plan_call(now)
-        self.list_may_serve(now)
+        self.resume_waiting(now)
 
-    def note_trust(self, now: float) -> None:
-        """Have each change of it logged: after an outage staff have to see when requests were held."""
+    def log_trust(self, now: float) -> None:
+        """Log each change of trust: after an outage operators have to see when requests were held."""
         trust = self.discovery.trust(now)
         if trust is not self.trust:
             self.trust = trust
             cause = self.discovery.hold_cause(now)
             self.actions.append(ListTrustChanged(trust, self.discovery.unconfirmed_ms(now), cause))
 
-    def list_holds(self, now: float) -> bool:
-        """Whether requests wait until discovery has told."""
+    def must_hold(self, now: float) -> bool:
+        """Whether requests have to wait for discovery."""
         holds = self.discovery.holds(now)
         if holds != (self.trust is ListTrust.HELD):
-            self.note_trust(now)
+            self.log_trust(now)
         return holds
 
     def plan_call(self, now: float) -> None:
-        """Wake up when the schedule's next call is due, unless a wake-up comes sooner: that plans anew."""
+        """Set a timer for the schedule's next call, unless an earlier one is set, which will plan again."""
         if self.discovery.call_at < self.wakes_at:
             self.wakes_at = self.discovery.call_at
             self.after(max(0.0, self.wakes_at - now), self.call_discovery)
 
     def call_discovery(self, now: float) -> None:
-        """Make the call that is due; a wake-up that an earlier one has replaced does nothing."""
+        """Make the call that is due; a timer that was replaced by an earlier one does nothing."""
         if now < self.wakes_at:
             return
         self.wakes_at = math.inf
--- a/lupinlink/brain/load_monitoring.py
+++ b/lupinlink/brain/load_monitoring.py
@@ -94,7 +94,7 @@
         if self.outlier_detector.eject(server, now, max_ejected):
             self.usable_changed(server, now)
 
-    def look_ahead(self, now: float) -> None:
+    def apply_foresight(self, now: float) -> None:
         """If servers were lost, refuse what the others cannot serve at once: delays show it too late."""
         admission, share = self.admission, self.admission.foresight.look(self.capacity(now))
         if share < admission.admit_probability:
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -59,7 +59,7 @@
         def hold(harness: CountedNodeHarness) -> None:
             harness.handle(DiscoveryWatchEnded(heard_at=harness.now, silent=False))
             harness.advance_to(harness.now + 500.0)
-            self.assertTrue(harness.node.list_holds(harness.now))
+            self.assertTrue(harness.node.must_hold(harness.now))
 
         self.compare(waiting, hold)
 
