--- a/lupinlink/brain/discovery_times.py
+++ b/lupinlink/brain/discovery_times.py
@@ -9,9 +9,9 @@
 
 ``failed_call_chain_ms`` is that sum, and ``silent_watch_chain_ms`` the one for a watch that falls silent and
 is followed by a call whose connection never comes up. Longer chains, as of several calls in a row that are
-accepted and fail, cannot be ruled out: after ``hold_after_ms`` the list is not trusted any more. A new process
-trusts no list until discovery has sent one: it is bound by what the previous process was notified of, and the
-list that it starts with may be older than that. A node of the simulator has no previous process.
+accepted and fail, cannot be ruled out: after ``hold_after_ms`` the list is not trusted any more. A new
+process trusts no list until discovery has sent one: it is bound by what the previous process was notified of,
+and the list that it starts with may be older than that. A node of the simulator has no previous process.
 """
 
 from __future__ import annotations
@@ -42,17 +42,13 @@
 OVERLOAD_MAX_BACKOFF_MS = 5000.0  # after several late failures; with jitter, it and a call fit in 6 s
 BACKOFF_JITTER = (0.25, 0.75)  # range of the random factor on a backoff, which keeps processes apart
 MIN_OUTAGE_CALLS = 2  # a single failed call is an isolated failure
-START_HOLD_MS = (
-    3150.0  # in the simulator, a node without notification this long after its start holds requests
-)
+START_HOLD_MS = 3150.0  # simulator: without a notification this long after its start a node holds requests
 PROMPT_ANSWER_MS = 500.0  # a healthy discovery has answered a call by then
 AGENT_START_MS = 1000.0  # a local agent has answered a process that starts by then
 MAX_HOLD_MS = 12000.0  # four calls in sequence that fail late, with the backoffs between them
 CALL_SPACING_MS = 125.0  # between the calls of all processes, as discovery's capacity is unknown
 MIN_FIRST_CALL_SPREAD_MS = 1000.0  # processes that start together do so within about this time
-MAX_FIRST_CALL_SPREAD_MS = (
-    2650.0  # requests wait for the first answer, but simultaneous calls overload discovery
-)
+MAX_FIRST_CALL_SPREAD_MS = 2650.0  # requests wait for the answer, but calls at once overload discovery
 FIRST_CALL_SPREAD_SHARE = 0.4  # of the time within which a node must ask, where that is shorter
 
 
@@ -138,7 +134,7 @@
         )
 
     def failed_call_chain_ms(self) -> float:
-        """From discovery's return to a fresh list: an unanswered call, a backoff, the call that returns it."""
+        """From discovery's return to a fresh list: an unanswered call, a backoff, a call that returns it."""
         return self.answer_timeout_ms + BACKOFF_JITTER[1] * self.max_backoff_ms + ANSWER_MS
 
     def silent_watch_chain_ms(self) -> float:
