--- a/lupinlink/adapter.py
+++ b/lupinlink/adapter.py
@@ -137,7 +137,7 @@
             return f"DEBUG {node} list {action.trust.value} for {action.unconfirmed_ms:.0f} ms"
 
 
-class Host:
+class NodeHost:
     """Feeds each instance its own events and collects its actions."""
 
     def __init__(self) -> None:
@@ -220,7 +220,7 @@
 def main() -> int:
     """Serve the wire on standard input and output."""
     gc.freeze()
-    host = Host()
+    host = NodeHost()
     try:
         host.serve(sys.stdin, sys.stdout)
     except (WireError, ValueError, KeyError, IndexError) as exc:
--- a/lupinlink/brain/admission.py
+++ b/lupinlink/brain/admission.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from lupinlink.interface import Arrival, LatencyStats, Settings
-from lupinlink.limits.foresight import Foresight
+from lupinlink.limits.capacity_bound import CapacityBound
 
 TARGET, LATE_TARGET = 0.45, 0.4  # D_ref: so much of the aim, and more the more a late answer is worth
 X_MAX, TARGET_ROOM, SEED_X = 0.6, 1.35, 0.35  # bound on E[X]; target over it; before a light period was seen
@@ -26,7 +26,7 @@
         self.theta1, self.theta2 = THETA
         self.p11, self.p12, self.p22 = P0, 0.0, P0
         self.error = self.delta = self.delay = 0.0  # y(k), the applied u(k), d
-        self.foresight = Foresight(warm_keys)
+        self.capacity_bound = CapacityBound(warm_keys)
 
     def learn(self, error: float) -> None:
         """RLS step for y(k+1) = th1 y(k) + th2 u(k): eqs. (9) and (10) with n=1, m=0, d=1."""
@@ -45,7 +45,7 @@
         self, rate: float, delay: float | None, ready: float, busy: float | None = None, through: float = 0.0
     ) -> None:
         """Close a period: arrivals a second, mean delay in aims, reported use, served share of arrivals."""
-        self.foresight.learn(busy, ready, max(through, self.admit))
+        self.capacity_bound.observe_period(busy, ready, max(through, self.admit))
         if rate <= 0.0 or delay is None:
             self.admit, self.refusing, self.delta, self.error = 1.0, False, 0.0, 0.0
             return
@@ -57,7 +57,9 @@
         self.target = max(self.least_target, TARGET_ROOM * self.x)
         error = delay - self.target
         if light and busy is not None:  # whatever makes the latency, it is not that servers have too much
-            self.admit = min(RISE * self.admit, max(self.foresight.bears(ready), DRAIN * through))
+            self.admit = min(
+                RISE * self.admit, max(self.capacity_bound.admissible_share(ready), DRAIN * through)
+            )
             self.refusing, self.delta, self.error = self.admit < 1.0, 0.0, error
             return
         # The paper measures E[X] off line, for one core; here it is what makes the model give the delay seen.
@@ -105,8 +107,8 @@
             self.tenant_count[i] = 0
         worth = []
         for i, cls in enumerate(self.settings.classes):
-            value = cls.worth if self.settings.worth_by_work else cls.worth / max(1.0, latency[i].mean)
-            worth += [value, value * self.settings.over_quota_worth]
+            value = cls.value if self.settings.value_by_work else cls.value / max(1.0, latency[i].mean)
+            worth += [value, value * self.settings.over_quota_value]
         refuse = (1.0 - mean) * sum(self.counts)
         for i in sorted(range(len(worth)), key=worth.__getitem__):
             cut = min(refuse, self.counts[i])
--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -15,11 +15,11 @@
         super().__init__(settings, rng)
         self.retry_tokens = RETRY_BURST / 2
 
-    def arrived(self, request: Request, now: float) -> None:
+    def request_arrived(self, request: Request, now: float) -> None:
         if not self.in_time(request, now):  # nor is it counted: however many come, they say nothing of load
             return self.finish(request, RefusalCause.NO_TIME)
         self.period.arrivals += 1
-        self.period.returned += request.arrival.is_retry
+        self.period.retries += request.arrival.is_retry
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         self.probe_some()
         if now >= self.split.due_at:
@@ -30,7 +30,7 @@
             return self.finish(request, RefusalCause.SHED)
         self.dispatch(request, now)
 
-    def ended(self, request: Request, attempt: Attempt, event: Outcome, now: float) -> None:
+    def attempt_ended(self, request: Request, attempt: Attempt, event: Outcome, now: float) -> None:
         self.evidence(request, attempt, event, now)
         self.freed(attempt.server, now)
         if request.done:
@@ -50,5 +50,5 @@
 
     def in_time(self, request: Request, now: float) -> bool:
         """Whether an answer may still come before the client has gone."""
-        usual = self.latency[request.arrival.class_index].seen()
+        usual = self.latency[request.arrival.class_index].observed_mean()
         return request.arrival.deadline - now >= ANSWER_MARGIN_MS + usual / 2
--- a/lupinlink/brain/choice.py
+++ b/lupinlink/brain/choice.py
@@ -10,9 +10,9 @@
 from lupinlink.interface import Server, Settings
 from lupinlink.node import Node
 from lupinlink.spread.aperture import Aperture
-from lupinlink.spread.keys import Homes, checksum
+from lupinlink.spread.key_affinity import KeyPopularity, hash_key
 from lupinlink.spread.recent_use import RecentUse
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE
 
 LATENCY, REPORT = 0, 1  # sources of a load figure
 SHARPNESS, TRUST_GAIN, TRUST_MIN = 1.8, 0.01, 0.1  # power of the known load, cut to what it foretold so far
@@ -39,7 +39,7 @@
         self.limits = limits
         self.levels: dict[tuple[int, int], float] = {}  # usual log figure: of zones' latencies, of reports
         self.due_at, self.spill, self.cov, self.var, self.trust = -math.inf, 0.0, 0.05, 0.1, 0.5
-        self.homes = Homes(settings.peers)
+        self.key_popularity = KeyPopularity(settings.peers)
         self.stretch = Stretch(Aperture(settings.rank, settings.peers), self.weight)
         self.table = self.stretch.table
         self.recent: RecentUse[Server] = RecentUse(REST_SHARE * settings.idle_close_ms)
@@ -52,7 +52,7 @@
             return  # NaN and absurd reports must not poison the weights
         self._told[server] = None
         # A crossing's way there and back is no load: latencies are held against the usual one of their zone.
-        level = (source, server.row.zone if source == LATENCY else -1)
+        level = (source, server.endpoint.zone if source == LATENCY else -1)
         group, raw = server.group, math.log(figure) - self.levels.get(level, 0.0)
         raw -= (server.size + group.size) * (source == REPORT)  # held requests say more of a small server
         load = min(max(raw, -LOAD_MAX), LOAD_MAX)
@@ -65,27 +65,27 @@
             self.due_at = min(self.due_at, now + TABLE_MIN_MS)
         if source == LATENCY:  # lasting differences of latency are differences of size
             for item, rate in ((server, SIZE_RATE), (group, KIND_RATE)):  # by time, not by traffic
-                step = rate * load * min((now - item.sized_at) / 1000.0, 2.0)
+                step = rate * load * min((now - item.size_updated_at) / 1000.0, 2.0)
                 item.size = min(max(item.size - step, -SIZE_MAX), SIZE_MAX)
-                item.sized_at = now
+                item.size_updated_at = now
         prior = group.load + (server.load - group.load) * self.fade(server, now)
-        server.load, server.known_at = prior + gain * (load - prior), now
+        server.load, server.load_updated_at = prior + gain * (load - prior), now
         group.count += gain > 0.0
         group.load += min(gain, max(GROUP_GAIN, 1.0 / (group.count + 1))) * (load - group.load)
 
     def fade(self, server: Server, now: float) -> float:
-        return min(1.0, math.exp((server.known_at - now) / FADE_MS))
+        return min(1.0, math.exp((server.load_updated_at - now) / FADE_MS))
 
     def size(self, server: Server) -> float:
-        return server.row.size_hint * math.exp(server.size + server.group.size)
+        return server.endpoint.size_hint * math.exp(server.size + server.group.size)
 
     def weight(self, server: Server, now: float) -> float:
         """The aged figure: a server not heard of fades to the usual load of its zone and kind."""
         usual = server.group.load
         log = -SHARPNESS * self.trust * (usual + (server.load - usual) * self.fade(server, now))
-        if server.row.zone != self.settings.zone:
+        if server.endpoint.zone != self.settings.zone:
             log -= PRICE_SCALE * self.settings.cross_zone_price * (1.0 - self.spill)
-        sound = (1.0 - server.failing) ** 2
+        sound = (1.0 - server.failure_rate) ** 2
         return math.exp(log) * sound * self.slow_start.warmth(server, now) * self.size(server) + 1e-9
 
     def refresh(self, now: float) -> None:
@@ -94,7 +94,7 @@
             return
         self.stretch.settle(now)
         self._weighings += 1
-        for server in (*self._told, *self.table.some(self._weighings)):
+        for server in (*self._told, *self.table.bucket_items(self._weighings)):
             if server in self.table:
                 self.table.set(server, self.weight(server, now))
         self._told.clear()
@@ -121,7 +121,7 @@
         Of very many it is some each time, and others the next.
         """
         self._looks += 1
-        yield self.table.some(self._looks)
+        yield self.table.bucket_items(self._looks)
         yield [s for s in self.stretch.outside() if self.may_be_asked(s, now)]
 
     def may_be_asked(self, server: Server, now: float) -> bool:
@@ -134,7 +134,7 @@
 
     def _reuses(self, now: float) -> bool:
         """Whether the next request goes first to a server that was used lately."""
-        return self.rng.random() * REUSED_AMONG < self.recent.number(now)
+        return self.rng.random() * REUSED_AMONG < self.recent.count(now)
 
     def drawn(self, key: str, now: float) -> Iterable[Server]:
         """Servers at random by their weights. With a key the key's hash is the chance: as long as weights
@@ -142,14 +142,14 @@
         if not self.table:
             return
         if key:
-            mix = checksum(key)
-            self.homes.met(mix)
-            number = self.homes.number(mix, len(self.table))
-            yield from self.table.homes(mix, number, PICK_TRIES, self.rng.random())
+            mix = hash_key(key)
+            self.key_popularity.record(mix)
+            number = self.key_popularity.server_count(mix, len(self.table))
+            yield from self.table.preferred(mix, number, PICK_TRIES, self.rng.random())
             return
-        if len(self.table) > MOST_IN_BUCKET and self._reuses(now):
+        if len(self.table) > MAX_MEAN_BUCKET_SIZE and self._reuses(now):
             server = self.recent.draw(self.rng.random(), now)
-            if server is not None and server in self.table and server.out == 0:
+            if server is not None and server in self.table and server.in_flight == 0:
                 yield server
         for _ in range(PICK_TRIES):
             self.draw = (self.draw + GOLDEN) % 1.0
--- a/lupinlink/brain/concurrency.py
+++ b/lupinlink/brain/concurrency.py
@@ -38,12 +38,12 @@
         held, queued = report.get("in_flight", math.nan), report.get("queued", math.nan)
         if not 0.0 <= queued <= held < math.inf:
             return
-        server.held, server.held_at, server.sent_since = held, now, 0
+        server.reported_requests, server.reported_at, server.sent_since_report = held, now, 0
         if 0.0 < queued < held:
             group = server.group
-            group.queueing += 1
-            group.cores += max(CORES_GAIN, 1.0 / group.queueing) * (held - queued - group.cores)
-            self.known = self.known or group.queueing >= LEAST_REPORTS
+            group.queueing_reports += 1
+            group.cores += max(CORES_GAIN, 1.0 / group.queueing_reports) * (held - queued - group.cores)
+            self.known = self.known or group.queueing_reports >= LEAST_REPORTS
 
     def answered(self, report: dict[str, float] | None, aims: float) -> None:
         """An answer came after so many aims. One that leaves others queueing behind it has queued as well."""
@@ -53,11 +53,14 @@
 
     def holds(self, server: Server, now: float) -> float:
         """How many requests it is taken to hold: its last report, fading, and this node's sends since."""
-        return server.held * math.exp((server.held_at - now) / FADE_MS) + server.sent_since
+        return (
+            server.reported_requests * math.exp((server.reported_at - now) / FADE_MS)
+            + server.sent_since_report
+        )
 
     def limit(self, server: Server) -> float:
         """At so many held requests one more would be late; infinite where that is not known."""
-        if server.group.queueing < LEAST_REPORTS:
+        if server.group.queueing_reports < LEAST_REPORTS:
             return math.inf
         return max(LEAST_HELD, server.group.cores * IN_TIME / self.usual_aims - 1.0)
 
@@ -74,11 +77,11 @@
         """
         mean = in_flight / max(1, servers)
         if not self.known:
-            return (1.0 + mean) / (1.0 + server.out / size)
+            return (1.0 + mean) / (1.0 + server.in_flight / size)
         return (1.0 + self._peers * mean) / (1.0 + self.holds(server, now) / size)
 
     def latest_begin(self, request: Request) -> float:
         """Sent after this a request is worth nothing: then it need not wait for room any longer."""
-        if not self.known or request.cls.late_worth > 0.0:
-            return request.aim_at
-        return request.aim_at - LAST_BEGIN * self.usual_aims * request.cls.aim_ms
+        if not self.known or request.cls.late_value > 0.0:
+            return request.target_at
+        return request.target_at - LAST_BEGIN * self.usual_aims * request.cls.target_latency_ms
--- a/lupinlink/brain/discovering.py
+++ b/lupinlink/brain/discovering.py
@@ -37,19 +37,19 @@
         """Something has come of discovery: servers may be new, or requests be held no longer."""
         raise NotImplementedError
 
-    def started(self, now: float) -> None:
+    def node_started(self, now: float) -> None:
         """Danger: nodes started together must not revise, nor call discovery, in step."""
         self.period.start = now
-        self.after(self.rng.uniform(0.2, 1.0) * self.span, self.end_period)
+        self.call_later(self.rng.uniform(0.2, 1.0) * self.span, self.end_period)
         if self.settings.subscribe:
             self.discovery.started(now)
             self.plan_call(now)
 
-    def list_news(self, event: Membership, now: float) -> None:
+    def list_updated(self, event: Membership, now: float) -> None:
         """Act at once on what changed."""
         self.split.due_at = now
         if event.kind == MembershipKind.FAILED:
-            self.discovery_news(self.ended_on_the_simulator(now), now)
+            self.discovery_updated(self.ended_on_the_simulator(now), now)
         elif event.kind != MembershipKind.CACHED and event.current:
             self.discovery.confirmed(now)
         self.note_trust(now)
@@ -58,35 +58,38 @@
     def ended_on_the_simulator(self, now: float) -> DiscoveryEvent:
         """Its one event for both: a subscription that dropped, or else a call that failed."""
         if self.discovery.watching:
-            return DiscoveryWatchEnded(heard_at=now, silent=False, may_have_news=False)
-        return DiscoveryCallFailed(reached=False, answered=False, took_ms=0.0)
+            return DiscoveryWatchEnded(last_activity_at=now, timed_out=False, may_have_update=False)
+        return DiscoveryCallFailed(connected=False, answered=False, took_ms=0.0)
 
-    def discovery_news(self, event: DiscoveryEvent, now: float) -> None:
+    def discovery_updated(self, event: DiscoveryEvent, now: float) -> None:
         """Hand it to the schedule, which may plan the next call."""
         match event:
             case DiscoveryMoved():
                 self.discovery.moved(now)
             case ProcessStarted():
                 self.discovery.restarted(now)
-                self.after(self.discovery.times.hold_most_ms, self.note_trust)  # though no request may come
+                # though no request may come
+                self.call_later(self.discovery.times.hold_most_ms, self.note_trust)
             case DiscoveryCallLate():
                 self.discovery.call_late(now)
             case DiscoveryCallReached():
                 self.discovery.call_reached(now, event)
                 if self.settings.subscribe:
-                    self.after(self.discovery.times.pending_hold_after_ms, self.note_trust)
+                    self.call_later(self.discovery.times.pending_hold_after_ms, self.note_trust)
             case DiscoveryCallAnswered():
                 self.discovery.call_answered(now)
             case DiscoveryPartial():
                 self.discovery.partial(now, event.partial)
             case DiscoveryCallFailed():
                 self.discovery.call_failed(now, event)
-            case DiscoveryWatchEnded(former=True):
-                self.discovery.former_watch_ended(event.heard_at)
+            case DiscoveryWatchEnded(at_previous_address=True):
+                self.discovery.former_watch_ended(event.last_activity_at)
             case DiscoveryWatchEnded():
                 self.discovery.watch_ended(now, event)
-                if self.settings.subscribe and event.may_have_news:
-                    self.after(ENDED_TOLD_MS + self.discovery.times.pending_hold_after_ms, self.note_trust)
+                if self.settings.subscribe and event.may_have_update:
+                    self.call_later(
+                        ENDED_TOLD_MS + self.discovery.times.pending_hold_after_ms, self.note_trust
+                    )
         self.note_trust(now)
         self.plan_call(now)
         self.list_may_serve(now)
@@ -110,7 +113,7 @@
         """Wake up when the schedule's next call is due, unless a wake-up comes sooner: that plans anew."""
         if self.discovery.call_at < self.wakes_at:
             self.wakes_at = self.discovery.call_at
-            self.after(max(0.0, self.wakes_at - now), self.call_discovery)
+            self.call_later(max(0.0, self.wakes_at - now), self.call_discovery)
 
     def call_discovery(self, now: float) -> None:
         """Make the call that is due; a wake-up that an earlier one has replaced does nothing."""
--- a/lupinlink/brain/discovery.py
+++ b/lupinlink/brain/discovery.py
@@ -113,11 +113,11 @@
         After a silence much of the time has gone by in which changes have to be heard, so the call follows at
         once. Watches that end together must not call together.
         """
-        self._reset(watch_was_ended=not event.silent)
+        self._reset(watch_was_ended=not event.timed_out)
         self.watching = False
-        self._hold_from = event.heard_at + self.times.hold_after_ms
-        self._next_at = now if event.silent else now + self._drawn_wait()
-        if event.may_have_news and not event.silent:
+        self._hold_from = event.last_activity_at + self.times.hold_after_ms
+        self._next_at = now if event.timed_out else now + self._drawn_wait()
+        if event.may_have_update and not event.timed_out:
             self._pending.watch_ended(now)
 
     def call_late(self, now: float) -> None:
@@ -134,8 +134,8 @@
     def call_reached(self, now: float, event: DiscoveryCallReached) -> None:
         """The connection of a call came up, and its request was written."""
         self._outage.connected()
-        if not (self.watching or event.beside_watch):
-            self._pending.asked(event.call, now)
+        if not (self.watching or event.previous_watch_open):
+            self._pending.asked(event.call_number, now)
 
     def call_answered(self, now: float) -> None:
         """A good head came. Where nothing has changed, an empty line follows it, though not at once."""
@@ -153,18 +153,18 @@
     def call_failed(self, now: float, event: DiscoveryCallFailed) -> None:
         """A call told nothing."""
         self._calls = max(0, self._calls - 1)
-        if event.refused or not event.reached:
-            self._pending.told_nothing([event.call])
+        if event.refused or not event.connected:
+            self._pending.told_nothing([event.call_number])
         if self.watching:
             return
         self._late_failures += event.took_ms >= QUICK_MS
-        if event.may_have_told:
+        if event.may_have_notified:
             self._partial_from = min(self._partial_from, now)
         at_once = event.took_ms < QUICK_MS
-        if not event.answered and (at_once or event.reached):
-            if self._outage.failed(way_of(event), now, event.call):
+        if not event.answered and (at_once or event.connected):
+            if self._outage.failed(way_of(event), now, event.call_number):
                 self._cannot_be_reached(now - event.took_ms)
-        elif not event.reached and self._calls:
+        elif not event.connected and self._calls:
             return  # its connection never came up, and others were begun beside it since
         if self._calls and self._outage.seems_down:
             return  # one after the other is enough from here on
@@ -239,9 +239,9 @@
 
 def way_of(event: DiscoveryCallFailed) -> CallFailure:
     """In which way this call failed."""
-    if not event.reached:
+    if not event.connected:
         return CallFailure.REFUSED
-    if event.silent:
+    if event.timed_out:
         return CallFailure.UNANSWERED
     if event.refused:
         return CallFailure.TURNED_AWAY if event.took_ms < QUICK_MS else CallFailure.ENDED_LATE
--- a/lupinlink/brain/dispatching.py
+++ b/lupinlink/brain/dispatching.py
@@ -42,7 +42,7 @@
     def finish(self, request: Request, cause: RefusalCause | None) -> None:
         """The one final answer: a refusal where there is a cause and it is harmless, else a failure."""
         name, harmless = request.arrival.request_id, cause is not None and may_refuse(request)
-        wait = min(self.settings.max_retry_after_ms, RETRY_AFTER * request.cls.aim_ms)
+        wait = min(self.settings.max_retry_after_ms, RETRY_AFTER * request.cls.target_latency_ms)
         if cause is not None and harmless:
             self.actions.append(Refuse(name, wait * self.rng.uniform(0.5, 1.0), cause))
         else:
@@ -110,7 +110,7 @@
 
     def has_room(self, server: Server, now: float) -> bool:
         """Whether it may have one more request, whichever it is."""
-        out = now < server.ejected_until or (server.trial and server.out > 0)
+        out = now < server.ejected_until or (server.on_probation and server.in_flight > 0)
         return not out and self.limits.has_room(server, now)
 
     def is_spent(self, request: Request, now: float) -> bool:
@@ -123,23 +123,23 @@
         if not server.ready or any(a.server is server for a in request.attempts):
             return False
         # No second copies: they cost more than they save (docs/design.md).
-        harmless = all(may_follow(a, request.cls, server.row, now) for a in request.attempts)
+        harmless = all(may_follow(a, request.cls, server.endpoint, now) for a in request.attempts)
         return harmless and self.slow_start.allows(server, now)
 
     def send(self, request: Request, server: Server, now: float) -> None:
         """Begin an attempt, and look after it."""
         self.waiting.remove(request)
         attempt = self.start_attempt(request, server, begin_by(request), now)
-        stats, aim = self.latency[request.arrival.class_index], request.cls.aim_ms
-        late = min(aim, max(stats.mean + OVERDUE_DEVS * stats.dev, OVERDUE_LEAST * aim))
-        self.after(late, lambda t: self.overdue(request, attempt, t, 1))  # a pause here is no hang
+        stats, aim = self.latency[request.arrival.class_index], request.cls.target_latency_ms
+        late = min(aim, max(stats.mean + OVERDUE_DEVS * stats.deviation, OVERDUE_LEAST * aim))
+        self.call_later(late, lambda t: self.overdue(request, attempt, t, 1))  # a pause here is no hang
 
     def wait(self, request: Request, cause: WaitingFor, now: float) -> None:
         """It waits, at most for as long as an answer is worth anything."""
         if (left := self.worth_waiting_until(request) - now) <= 0.0:
             return self.give_up(request, cause)
         waiting = self.waiting.add(request, cause)
-        self.after(left, lambda t: self.waited(waiting, t))
+        self.call_later(left, lambda t: self.waited(waiting, t))
         if cause is WaitingFor.LIST:
             self.plan_release(now)
         else:
@@ -168,7 +168,7 @@
         ends_at = self.discovery.hold_may_end_at(now)
         if ends_at < self.release_at:
             self.release_at = ends_at
-            self.after(ends_at - now, self.release_due)
+            self.call_later(ends_at - now, self.release_due)
 
     def release_due(self, now: float) -> None:
         """It is time to look whether the hold has ended."""
@@ -188,13 +188,13 @@
         self.plan_look(now)
         if self.waiting.any(WaitingFor.LIST):
             self.release_at = now
-            self.after(0.0, self.release_due)
+            self.call_later(0.0, self.release_due)
 
     def plan_look(self, now: float) -> None:
         """One look for all that wait for a backend."""
         if self.look_at == math.inf and self.waiting.any(WaitingFor.BACKEND):
             self.look_at = now + LOOK_MS
-            self.after(LOOK_MS, self.look_due)
+            self.call_later(LOOK_MS, self.look_due)
 
     def look_due(self, now: float) -> None:
         """It is time for the next look."""
@@ -227,14 +227,14 @@
             return
         server, age, stats = attempt.server, now - attempt.sent_at, self.latency[request.arrival.class_index]
         self.split.observe(server, age / stats.mean, LATENCY, OVERDUE_GAIN, now)
-        self.after((OVERDUE_AGAIN - 1.0) * age, lambda t: self.overdue(request, attempt, t))
+        self.call_later((OVERDUE_AGAIN - 1.0) * age, lambda t: self.overdue(request, attempt, t))
         # Danger: a server that hangs eats what it is sent; where it answers others, one connection is silent.
-        quiet = server.heard_at < attempt.sent_at
-        server.silent += first * quiet
-        hangs = quiet and (server.silent >= SILENT_MOST or (server.trial and not first))
+        quiet = server.last_response_at < attempt.sent_at
+        server.unanswered += first * quiet
+        hangs = quiet and (server.unanswered >= SILENT_MOST or (server.on_probation and not first))
         if hangs:
             self.eject(server, now, MAX_EJECTED * self.ready)
-        if hangs or age > stats.mean + LOST_DEVS * stats.dev:
+        if hangs or age > stats.mean + LOST_DEVS * stats.deviation:
             elsewhere = self.may_go_elsewhere(request, attempt, now)
             if elsewhere and self.settings.may_cancel and self.again(request, now):
                 self.actions.append(Cancel(request.arrival.request_id, len(request.attempts) - 1))
@@ -243,8 +243,8 @@
         """Whether a usable server that has not had the request may have it after this attempt."""
         if not may_follow_anywhere(attempt, request.cls, now):
             return False
-        used = {a.server.row.name for a in request.attempts}  # by name: a restart makes none new
+        used = {a.server.endpoint.name for a in request.attempts}  # by name: a restart makes none new
         row, stretch = bound_to_cell(request), self.split.stretch
         servers = stretch.usable() if row is None else stretch.cell(row.zone, row.cell)
-        others = (s for s in servers if s.row.name not in used)
-        return any(may_follow(attempt, request.cls, s.row, now) for s in others)
+        others = (s for s in servers if s.endpoint.name not in used)
+        return any(may_follow(attempt, request.cls, s.endpoint, now) for s in others)
--- a/lupinlink/brain/health.py
+++ b/lupinlink/brain/health.py
@@ -18,27 +18,33 @@
     """Keeps all nodes together under what a server that has just started can do."""
 
     def __init__(self, settings: Settings) -> None:
-        self.settings, self.slack = settings, 1.0 / (settings.peers * settings.fall_ms)  # of all: one a span
+        # of all: one a span
+        self.settings, self.slack = settings, 1.0 / (settings.peers * settings.cold_overload_ms)
         self.per_server = 0.0  # this node's even share a server and millisecond
 
     def least(self, server: Server, now: float) -> float:
         """The least share of its full capacity that the settings promise by now."""
-        age, share = max(0.0, now - server.row.started_ms), self.settings.cold_share
-        cold = server.row.started_ms > 0.0 and age < self.settings.cold_ms
+        age, share = max(0.0, now - server.endpoint.started_ms), self.settings.cold_share
+        cold = server.endpoint.started_ms > 0.0 and age < self.settings.cold_ms
         return share + (1.0 - share) * age / self.settings.cold_ms if cold else 1.0
 
     def warmth(self, server: Server, now: float) -> float:
-        return min(1.0, server.boost * self.least(server, now))
+        return min(1.0, server.warmup_boost * self.least(server, now))
 
     def report(self, server: Server, busy: float) -> None:
         """A cold server at ease may be given more; of many nodes each one sees few of its reports."""
         step = (AT_EASE_STEP if busy < AT_EASE else TIGHT_STEP) ** max(1, self.settings.peers / 2)
-        server.boost = min(max(1.0, server.boost * step), 1.0 / max(self.settings.cold_share, 0.01))
+        server.warmup_boost = min(
+            max(1.0, server.warmup_boost * step), 1.0 / max(self.settings.cold_share, 0.01)
+        )
 
     def allows(self, server: Server, now: float) -> bool:
         """Danger: nodes that cannot see each other spend at once what each saved: whole tokens go stale."""
-        more = min(server.boost, self.settings.fall_multiple / (1.0 + LEAST_KEPT))
-        kept = max(LEAST_KEPT, self.settings.fall_multiple / server.boost / more - 1) * self.settings.fall_ms
+        more = min(server.warmup_boost, self.settings.cold_overload_ratio / (1.0 + LEAST_KEPT))
+        kept = (
+            max(LEAST_KEPT, self.settings.cold_overload_ratio / server.warmup_boost / more - 1)
+            * self.settings.cold_overload_ms
+        )
         rate = max(self.per_server * self.warmth(server, now) * more, self.slack)
         tokens, server.tokens_at = server.tokens + (now - server.tokens_at) * rate, now
         server.tokens = tokens if tokens < 1.0 else tokens % 1.0 + (tokens % 1.0 <= rate * kept)
@@ -56,10 +62,13 @@
 
     def record(self, server: Server, gain: float, failed: bool, now: float, ready: int) -> bool:
         """Take one outcome; whether the server is ejected for it."""
-        server.failing += gain * (failed - server.failing)
+        server.failure_rate += gain * (failed - server.failure_rate)
         self.fleet += 0.02 * (failed - self.fleet)
-        server.ejections, server.trial = server.ejections * (server.failing >= 0.05), server.trial and failed
-        bad = failed and server.failing >= max(EJECT_AT, min(0.9, OVER_FLEET * self.fleet))
+        server.ejections, server.on_probation = (
+            server.ejections * (server.failure_rate >= 0.05),
+            server.on_probation and failed,
+        )
+        bad = failed and server.failure_rate >= max(EJECT_AT, min(0.9, OVER_FLEET * self.fleet))
         return bad and self.eject(server, now, MAX_EJECTED * ready)
 
     def eject(self, server: Server, now: float, most: float) -> bool:
@@ -68,8 +77,8 @@
             return False
         span = min(EJECT_MS * 2.0**server.ejections, EJECT_MAX_MS) * self.rng.uniform(0.75, 1.25)
         self.ejected[server] = None
-        server.ejected_until, server.ejections, server.trial = now + span, server.ejections + 1, True
-        server.load, server.known_at = max(server.load, RETURN_LOAD), now + span
+        server.ejected_until, server.ejections, server.on_probation = now + span, server.ejections + 1, True
+        server.load, server.load_updated_at = max(server.load, RETURN_LOAD), now + span
         heappush(self._returns, (server.ejected_until, next(self._numbers), server))
         return True
 
--- a/lupinlink/brain/learning.py
+++ b/lupinlink/brain/learning.py
@@ -9,7 +9,7 @@
 from lupinlink.brain.concurrency import ConcurrencyLimits
 from lupinlink.brain.health import Health, SlowStart
 from lupinlink.brain.ready_capacity import ReadyCapacity
-from lupinlink.interface import Attempt, LatencyStats, Period, Request, Server, Status
+from lupinlink.interface import AdmissionPeriod, Attempt, LatencyStats, Request, Server, Status
 from lupinlink.node import Node
 
 PERIOD_MS, PERIOD_JITTER = 1000.0, 0.25  # T, under the paper's 3 s: bursts end by then; nodes never in step
@@ -28,16 +28,20 @@
 
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.latency = [LatencyStats(c.aim_ms * SEED_X, c.aim_ms * SEED_X) for c in settings.classes]
-        late = sum(c.late_worth for c in settings.classes) / len(settings.classes)
+        self.latency = [
+            LatencyStats(c.target_latency_ms * SEED_X, c.target_latency_ms * SEED_X) for c in settings.classes
+        ]
+        late = sum(c.late_value for c in settings.classes) / len(settings.classes)
         self.admission = Admission(settings.peers, late, settings.warm_keys)
         self.order, self.health, self.slow_start = SheddingOrder(settings), Health(rng), SlowStart(settings)
         self.limits = ConcurrencyLimits(settings.peers)
         self.split = Split(settings, self.slow_start, rng, self.limits)
         self.ready_capacity = ReadyCapacity(self.slow_start)
-        self.period, self.probe_tokens = Period(0.0), 0.0
+        self.period, self.probe_tokens = AdmissionPeriod(0.0), 0.0
         self.probes = settings.may_probe and settings.reports_in_probes and not settings.reports_in_answers
-        self.span = min(max(PERIOD_MS, aim := min(c.aim_ms for c in settings.classes)), PERIOD_AIMS * aim)
+        self.span = min(
+            max(PERIOD_MS, aim := min(c.target_latency_ms for c in settings.classes)), PERIOD_AIMS * aim
+        )
 
     def capacity(self, now: float) -> float:
         """Servers that take work, a cold one by its warmth."""
@@ -47,31 +51,31 @@
     def take_back(self, now: float) -> None:
         """Servers whose ejection is over may be asked again."""
         for server in self.health.returned(now):
-            self.usable_changed(server, now)
+            self.server_usable_changed(server, now)
 
-    def usable_changed(self, server: Server, now: float) -> None:
+    def server_usable_changed(self, server: Server, now: float) -> None:
         """It may take work from now on, or may not."""
-        usable = server.usable(now) and self.servers.get(server.row.name) is server
+        usable = server.usable(now) and self.servers.get(server.endpoint.name) is server
         self.split.stretch.set_usable(server, usable, now)
         self.ready_capacity.set_usable(server, usable, now)
 
-    def listed(self, server: Server) -> None:
+    def server_listed(self, server: Server) -> None:
         """A new process: the first token is drawn, so that the nodes do not all meet it cold at once."""
         server.tokens = self.rng.random()
         self.split.stretch.listed(server)
 
-    def left(self, server: Server, now: float) -> None:
-        self.usable_changed(server, now)
+    def server_left(self, server: Server, now: float) -> None:
+        self.server_usable_changed(server, now)
         self.split.stretch.left(server, now)
 
     def eject(self, server: Server, now: float, most: float) -> None:
         """Leave it out for a while, if not so many are."""
         if self.health.eject(server, now, most):
-            self.usable_changed(server, now)
+            self.server_usable_changed(server, now)
 
     def look_ahead(self, now: float) -> None:
         """Fewer servers may be left: refuse from now on what they cannot bear, the delay tells too late."""
-        admission, share = self.admission, self.admission.foresight.look(self.capacity(now))
+        admission, share = self.admission, self.admission.capacity_bound.update(self.capacity(now))
         if share < admission.admit:
             admission.admit, admission.refusing, admission.delta = share, True, 0.0
             self.begin_period(now)
@@ -79,50 +83,61 @@
     def begin_period(self, now: float) -> None:
         """From here on by the admission as it stands."""
         self.order.revise(self.admission.admit, max(now - self.period.start, 1.0) / 1000.0, self.latency)
-        self.period = Period(now)
+        self.period = AdmissionPeriod(now)
 
     def end_period(self, now: float) -> None:
-        self.after(self.span * self.rng.uniform(1.0 - PERIOD_JITTER, 1.0 + PERIOD_JITTER), self.end_period)
+        self.call_later(
+            self.span * self.rng.uniform(1.0 - PERIOD_JITTER, 1.0 + PERIOD_JITTER), self.end_period
+        )
         period, seconds = self.period, max(now - self.period.start, 1.0) / 1000.0
         if seconds * 1000.0 < (MAX_PERIODS if 0 < period.count < MIN_SAMPLES else LEAST_PERIOD) * self.span:
             return
-        fresh = float(period.arrivals - period.returned)
+        fresh = float(period.arrivals - period.retries)
         if not self.settings.clients_mark_retries:  # refused clients who return are not new load
             fresh = max(period.arrivals - RETURN_SHARE * period.refused, 0.5 * period.arrivals)
-        busy = period.busy_sum / period.busy_count if period.busy_count >= MIN_SAMPLES else None
+        busy = (
+            period.utilization_sum / period.utilization_count
+            if period.utilization_count >= MIN_SAMPLES
+            else None
+        )
         rate, delay, ready = fresh / seconds, self.delay(period, seconds, now), self.capacity(now)
-        self.admission.revise(rate, delay, ready, busy, min(1.0, period.held / max(1, period.arrivals)))
+        self.admission.revise(rate, delay, ready, busy, min(1.0, period.processed / max(1, period.arrivals)))
         even = period.arrivals / seconds / 1000.0 / max(1, len(self.split.table))
         self.slow_start.per_server += 0.5 * (even - self.slow_start.per_server)
         over = (self.admission.delay / self.admission.target - SPILL_FROM) / SPILL_SPAN
         self.split.spill = min(max(over, 0.0), 1.0)
         self.begin_period(now)
 
-    def delay(self, period: Period, seconds: float, now: float) -> float | None:
+    def delay(self, period: AdmissionPeriod, seconds: float, now: float) -> float | None:
         """Mean delay in aims: of the served and, by a latency's share in the period, of those out (Little).
 
         Danger: where answers take as long as a period, the served ones tell of the admission before last.
         """
-        out = [(now - a.sent_at, r.cls.aim_ms) for r, a in self.outstanding() if a.server.load < OUTLIER]
+        out = [
+            (now - a.sent_at, r.cls.target_latency_ms)
+            for r, a in self.outstanding()
+            if a.server.load < OUTLIER
+        ]
         if not period.count:
             oldest = max((age / aim for age, aim in out), default=0.0)  # a single slow request is no jam
             return oldest if len(out) >= MIN_SAMPLES and oldest > self.admission.target else None
         served, span = period.delay_sum / period.count, seconds * 1000.0
         # Danger: full servers turn away at once. Counted as passing through, they make a jam look quick.
-        held = max(1, period.held)
+        held = max(1, period.processed)
         little = sum(1.0 / aim for _, aim in out) * span / held
         return served + min(1.0, period.latency_sum / held / span) * (little - served)
 
     def evidence(self, request: Request, attempt: Attempt, event: api.Outcome, now: float) -> None:
         """What an outcome says of the server and, for d, of all; quick errors say nothing of load."""
-        server, status, aim = attempt.server, event.status, request.cls.aim_ms
+        server, status, aim = attempt.server, event.status, request.cls.target_latency_ms
         stats, delay = self.latency[request.arrival.class_index], (now - attempt.sent_at) / aim
         self.report(server, event.report, now)
         if status == Status.TIMEOUT and now - attempt.sent_at < stats.mean:
             return  # its client's patience was short, which says nothing of the server
-        load = status == Status.TIMEOUT and server.heard_at >= attempt.sent_at  # it answers others: no fault
+        # it answers others: no fault
+        load = status == Status.TIMEOUT and server.last_response_at >= attempt.sent_at
         if status in (Status.OK, Status.ERROR, Status.OVERLOADED, Status.REJECTED):
-            server.heard_at, server.silent, server.absent = now, 0, 0
+            server.last_response_at, server.unanswered, server.connect_failures = now, 0, 0
         if status == Status.OK:
             self.split.recent.used(server, now)
             gain = 0.0 if self.settings.reports_in_answers else LATENCY_GAIN
@@ -135,9 +150,11 @@
         if not load and status not in (Status.OVERLOADED, Status.CANCELLED, Status.NOT_SENT, Status.REJECTED):
             gain = TIMEOUT_GAIN if status == Status.TIMEOUT else HEALTH_GAIN
             if self.health.record(server, gain, status != Status.OK, now, self.ready):
-                self.usable_changed(server, now)
-        server.absent += status == Status.UNREACHABLE
-        if status == Status.UNREACHABLE and server.absent >= ABSENT_MOST:  # nothing is there, at however many
+                self.server_usable_changed(server, now)
+        server.connect_failures += status == Status.UNREACHABLE
+        if (
+            status == Status.UNREACHABLE and server.connect_failures >= ABSENT_MOST
+        ):  # nothing is there, at however many
             self.eject(server, now, math.inf)
         if (load or status in (Status.OK, Status.OVERLOADED)) and server.load < OUTLIER:
             # One bad server must not shed traffic that others could carry, nor one long wait outweigh many.
@@ -149,7 +166,7 @@
             self.limits.report(server, report, now)
         if report and "utilization" in report:
             self.slow_start.report(server, report["utilization"])
-            self.period.report(report["utilization"])
+            self.period.add_utilization(report["utilization"])
         for name in ("in_flight", "queued", "latency_ms", "utilization"):
             if report and name in report:
                 return self.split.observe(server, 1.0 + report[name], REPORT, REPORT_GAIN, now)
@@ -160,9 +177,9 @@
         if self.probes and self.split.table and self.probe_tokens >= 1.0:
             self.probe_tokens = 0.0
             drawn = [self.split.table.draw(self.rng.random()) for _ in range(PROBE_DRAWS)]
-            self.actions.append(api.Probe(min(drawn, key=lambda s: s.known_at).row.name))
+            self.actions.append(api.Probe(min(drawn, key=lambda s: s.load_updated_at).endpoint.name))
 
-    def probed(self, server: Server, event: api.ProbeResult, now: float) -> None:
+    def probe_ended(self, server: Server, event: api.ProbeResult, now: float) -> None:
         if event.status == Status.OK:
             self.report(server, event.report, now)
         elif event.status == Status.TIMEOUT:
--- a/lupinlink/brain/stretch.py
+++ b/lupinlink/brain/stretch.py
@@ -9,7 +9,7 @@
 
 from lupinlink.interface import Server
 from lupinlink.spread.aperture import Aperture
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET, WeightedBuckets
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE, WeightedBuckets
 
 RingPlace = tuple[int, str, Server]  # salt, name, server: in the order that all nodes share
 server_at: Callable[[RingPlace], Server] = itemgetter(2)
@@ -31,14 +31,14 @@
     def listed(self, server: Server) -> None:
         """A server is new on the list."""
         covered_all = self._covers_all()
-        insort(self._ring, (server.salt, server.row.name, server))
+        insort(self._ring, (server.salt, server.endpoint.name, server))
         self._moved = self._moved or not (covered_all and self._covers_all())
 
     def left(self, server: Server, now: float) -> None:
         """A server is on the list no longer."""
         covered_all = self._covers_all()
         self.set_usable(server, False, now)
-        place = bisect_left(self._ring, (server.salt, server.row.name), key=itemgetter(0, 1))
+        place = bisect_left(self._ring, (server.salt, server.endpoint.name), key=itemgetter(0, 1))
         if place < len(self._ring) and self._ring[place][2] is server:
             del self._ring[place]
         self._moved = self._moved or not (covered_all and self._covers_all())
@@ -47,7 +47,7 @@
         """Whether a listed server takes work and is not left out."""
         if usable == (server in self._usable):
             return
-        cell = self._cells.setdefault((server.row.zone, server.row.cell), {})
+        cell = self._cells.setdefault((server.endpoint.zone, server.endpoint.cell), {})
         if usable:
             self._usable[server] = None
             cell[server] = None
@@ -62,7 +62,7 @@
 
     def _leave_cell(self, server: Server) -> None:
         """Its row may tell another cell by now than when it joined."""
-        cell = (server.row.zone, server.row.cell)
+        cell = (server.endpoint.zone, server.endpoint.cell)
         cells = [cell] if server in self._cells.get(cell, ()) else list(self._cells)
         for one in cells:
             self._cells[one].pop(server, None)
@@ -83,7 +83,7 @@
             return
         self._moved = False
         usable = self._usable
-        stretch = self._aperture.walk(self._ring, lambda place: place[2] in usable)
+        stretch = self._aperture.ring_subset(self._ring, lambda place: place[2] in usable)
         wanted = dict.fromkeys(map(server_at, stretch))
         for server in [server for server in self.table if server not in wanted]:
             self.table.remove(server)
@@ -97,8 +97,8 @@
             return []
         begin = self._next_outside % max(1, len(self._ring))
         around = chain(islice(self._ring, begin, None), islice(self._ring, begin))
-        self._next_outside = begin + MOST_IN_BUCKET
-        some = map(server_at, islice(around, MOST_IN_BUCKET))
+        self._next_outside = begin + MAX_MEAN_BUCKET_SIZE
+        some = map(server_at, islice(around, MAX_MEAN_BUCKET_SIZE))
         return [server for server in some if server in self._usable and server not in self.table]
 
     def _covers_all(self) -> bool:
--- a/lupinlink/commands/check.py
+++ b/lupinlink/commands/check.py
@@ -33,7 +33,9 @@
 
     try:
         config = load_config(os.environ, args["--config"])
-        known = ListReader(config.settings).read(config.known or {"rev": 0, "all": True, "targets": []})
+        known = ListReader(config.settings).read(
+            config.initial_list or {"rev": 0, "all": True, "targets": []}
+        )
         if known.rejected:
             raise ListError(f"known: {known.rejected} entries can't be read, the first: {known.fault}")
     except ValueError as exc:
--- a/lupinlink/commands/serve.py
+++ b/lupinlink/commands/serve.py
@@ -40,7 +40,7 @@
         config = load_config(os.environ, args["--config"])
         from lupinlink.net.service import serve
 
-        load = partial(load_config, os.environ, args["--config"], again=True)
+        load = partial(load_config, os.environ, args["--config"], reload=True)
         if not file:
             return serve(config, load)
         found = fleet_side(file, config)
--- a/lupinlink/errors.py
+++ b/lupinlink/errors.py
@@ -26,9 +26,9 @@
         return f"{self.code} {self}; {self.remedy}"
 
 
-def kinds(base: type[LupinError] = LupinError) -> list[type[LupinError]]:
+def error_types(base: type[LupinError] = LupinError) -> list[type[LupinError]]:
     """Every error type that has been imported so far, by code."""
     found = [base]
     for one in base.__subclasses__():
-        found += kinds(one)
+        found += error_types(one)
     return sorted(set(found), key=lambda kind: kind.code)
--- a/lupinlink/interface.py
+++ b/lupinlink/interface.py
@@ -13,6 +13,7 @@
 from lupinlink.list_trust import ListTrust as ListTrust
 from lupinlink.list_trust import ListTrustChanged as ListTrustChanged
 from lupinlink.records import NEVER_RAN as NEVER_RAN
+from lupinlink.records import AdmissionPeriod as AdmissionPeriod
 from lupinlink.records import Arrival as Arrival
 from lupinlink.records import Attempt as Attempt
 from lupinlink.records import Endpoint as Endpoint
@@ -20,13 +21,12 @@
 from lupinlink.records import Group as Group
 from lupinlink.records import LatencyStats as LatencyStats
 from lupinlink.records import MembershipKind as MembershipKind
-from lupinlink.records import Period as Period
 from lupinlink.records import Request as Request
 from lupinlink.records import Server as Server
 from lupinlink.records import Status as Status
+from lupinlink.settings import DedupScope as DedupScope
 from lupinlink.settings import Effect as Effect
 from lupinlink.settings import RequestClass as RequestClass
-from lupinlink.settings import Scope as Scope
 from lupinlink.settings import Settings as Settings
 from lupinlink.settings import Tenant as Tenant
 
@@ -59,8 +59,10 @@
 class DiscoveryCallReached:
     """The connection of a call to discovery came up and its request was written: it may be answered now."""
 
-    call: int = 0  # its number in this process
-    beside_watch: bool = False  # it asks a new discovery for its list; the former one's watch still tells
+    call_number: int = 0  # its number in this process
+    previous_watch_open: bool = (
+        False  # it asks a new discovery for its list; the former one's watch still tells
+    )
 
 
 @dataclass(slots=True)
@@ -79,23 +81,25 @@
 class DiscoveryCallFailed:
     """A call to discovery ended and told nothing."""
 
-    reached: bool  # its connection came up
+    connected: bool  # its connection came up
     answered: bool  # a good head came
     took_ms: float
-    silent: bool = False  # it was given up, discovery did not end it
-    may_have_told: bool = False  # a good head came, so news that was written may be lost
+    timed_out: bool = False  # it was given up, discovery did not end it
+    may_have_notified: bool = False  # a good head came, so news that was written may be lost
     refused: bool = False  # discovery answered that it does not serve it, so it told nothing
-    call: int = 0  # its number in this process
+    call_number: int = 0  # its number in this process
 
 
 @dataclass(slots=True)
 class DiscoveryWatchEnded:
     """The watch that had told is over."""
 
-    heard_at: float  # its last sign of life
-    silent: bool
-    former: bool = False  # discovery has moved from where it was, and has not told at the new address yet
-    may_have_news: bool = True  # discovery may have ended it instead of telling
+    last_activity_at: float  # its last sign of life
+    timed_out: bool
+    at_previous_address: bool = (
+        False  # discovery has moved from where it was, and has not told at the new address yet
+    )
+    may_have_update: bool = True  # discovery may have ended it instead of telling
 
 
 @dataclass(slots=True)
--- a/lupinlink/lab/backend_cost.py
+++ b/lupinlink/lab/backend_cost.py
@@ -101,7 +101,7 @@
 def held(backends: int) -> Callable[[], None]:
     """Forty requests that wait for discovery, for most of a second."""
     stand = Stand(backends, subscribe=True)
-    stand.give(api.DiscoveryWatchEnded(heard_at=stand.now, silent=False))
+    stand.give(api.DiscoveryWatchEnded(last_activity_at=stand.now, timed_out=False))
     stand.until(stand.now + 500.0)
 
     return stand.wait_in_vain
--- a/lupinlink/lab/load.py
+++ b/lupinlink/lab/load.py
@@ -20,7 +20,7 @@
 from lupinlink.lab.model.streams import Streams
 from lupinlink.lab.results import Latencies, latencies
 from lupinlink.net import http1
-from lupinlink.settings import address
+from lupinlink.settings import parse_address
 
 MOST_RATE, MOST_SECONDS = 50_000.0, 600.0
 LEAD_S, PATIENCE_S = 0.2, 5.0
@@ -43,7 +43,7 @@
 
 def loopback(text: str) -> tuple[str, int]:
     """HOST:PORT, which must be on this machine."""
-    host, port = address(text, "--target")
+    host, port = parse_address(text, "--target")
     try:
         near = ipaddress.ip_address(host).is_loopback
     except ValueError:
--- a/lupinlink/lab/sockets.py
+++ b/lupinlink/lab/sockets.py
@@ -28,7 +28,7 @@
 from lupinlink.lab.model.scenario import Scenario
 from lupinlink.lab.model.streams import Draws
 from lupinlink.lab.model.world import World
-from lupinlink.settings import VARIABLES
+from lupinlink.settings import ENVIRONMENT_VARIABLES
 
 START_S, STOP_S = 20.0, 6.0  # so long may a proxy take to serve, and to end
 LEAD_MS = 300.0  # at least, from the moment all is ready to the first request
@@ -47,7 +47,7 @@
         path = folder / f"proxy-{index}.json"
         path.write_text(json.dumps(config))
         self.log = folder / f"proxy-{index}.log"
-        env = {n: v for n, v in os.environ.items() if n not in VARIABLES}
+        env = {n: v for n, v in os.environ.items() if n not in ENVIRONMENT_VARIABLES}
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "lupinlink"],
--- a/lupinlink/lab/variants.py
+++ b/lupinlink/lab/variants.py
@@ -47,7 +47,7 @@
         self, rate: float, delay: float | None, ready: float, busy: float | None = None, through: float = 0.0
     ) -> None:
         super().revise(rate, delay, ready, busy, through)
-        self.admit, self.refusing, self.foresight.need = 1.0, False, 0.0
+        self.admit, self.refusing, self.capacity_bound.needed_servers = 1.0, False, 0.0
 
 
 class NoRefusals(Balancer):
--- a/lupinlink/limits/returns.py
+++ b/lupinlink/limits/idle_reuse.py
@@ -35,24 +35,26 @@
 SPARED_EACH, SPARED_SHARE = 8, 0.02
 
 
-class Ended(Enum):
+class IdleEnd(Enum):
     """How a rest came to its end."""
 
-    ASKED = "asked again"
-    LEFT = "left"
-    CUT = "cut short by the proxy"
+    REUSED = "asked again"
+    CLOSED_BY_CLIENT = "left"
+    CLOSED_BY_PROXY = "cut short by the proxy"
 
 
 class History:
     """Rests by the span of age in which they ended, decayed counts."""
 
-    __slots__ = ("asked", "at", "left", "odds", "seen")
+    __slots__ = ("asked", "at", "left", "reuse_probability", "seen")
 
     def __init__(self) -> None:
         self.asked = [0.0] * len(AGES_MS)
         self.left = [0.0] * len(AGES_MS)
         self.seen = [0.0] * len(AGES_MS)  # cut in that span: known to have come so far
-        self.odds = [0.0] * len(AGES_MS)  # of being asked again, for a rest that has come into the span
+        self.reuse_probability = [0.0] * len(
+            AGES_MS
+        )  # of being asked again, for a rest that has come into the span
         self.at = -math.inf  # when counts were last decayed
 
     def decay(self, now: float) -> None:
@@ -66,19 +68,19 @@
 
         ``resting``: how many rest now in each span; ``prior``: shares that ``weight`` rests stand for.
         """
-        beyond, odds = 0.0, 0.0
+        beyond, reuse_probability = 0.0, 0.0
         shares = [0.0] * len(AGES_MS)
         for i in reversed(range(len(AGES_MS))):
             asked, left = self.asked[i], self.left[i]
             known = weight + beyond + asked + left
             shares[i] = (weight * prior[i] + asked) / known
-            odds = shares[i] + max(0.0, 1.0 - shares[i] - left / known) * odds
-            self.odds[i] = odds
+            reuse_probability = shares[i] + max(0.0, 1.0 - shares[i] - left / known) * reuse_probability
+            self.reuse_probability[i] = reuse_probability
             beyond += asked + left + self.seen[i] + resting[i]
         return shares
 
 
-class Rest:
+class IdlePeriod:
     """A connection between two requests."""
 
     __slots__ = ("history", "since", "spared")
@@ -92,7 +94,7 @@
     return max(0, bisect_right(AGES_MS, age_ms) - 1)
 
 
-class Returns:
+class IdleReuse:
     """The odds that connections are asked again, for everybody and by address, and the price of a place."""
 
     def __init__(self, places: int) -> None:
@@ -108,43 +110,45 @@
         """Addresses that are remembered."""
         return len(self._own)
 
-    def began(self, address: str, now: float) -> Rest:
+    def idle_began(self, address: str, now: float) -> IdlePeriod:
         """A connection from ``address`` has its answer and stays; ``now`` in milliseconds."""
         spared = self._spares()
         self._count += 1
         self._spared += spared
-        return Rest(self._history(address, now), now, spared)
+        return IdlePeriod(self._history(address, now), now, spared)
 
-    def ended(self, rest: Rest, now: float, how: Ended) -> None:
+    def idle_ended(self, rest: IdlePeriod, now: float, how: IdleEnd) -> None:
         """The rest is over."""
         self._spared -= rest.spared
         at = span(now - rest.since)
         for history in (self._all, rest.history):
-            if how is Ended.ASKED:
+            if how is IdleEnd.REUSED:
                 history.asked[at] += 1.0
-            elif how is Ended.LEFT:
+            elif how is IdleEnd.CLOSED_BY_CLIENT:
                 history.left[at] += 1.0
             else:
                 history.seen[at] += 1.0
 
-    def odds(self, address: str, age_ms: float = 0.0) -> float:
+    def reuse_probability(self, address: str, age_ms: float = 0.0) -> float:
         """How likely a connection from there that has rested so long is asked again, 0 to 1."""
-        return self._own.get(address, self._all).odds[span(age_ms)]
+        return self._own.get(address, self._all).reuse_probability[span(age_ms)]
 
     def worth_keeping(self, address: str, taken: float) -> bool:
         """Whether a connection that has just had its answer should stay; ``taken``: share of places used."""
-        stays = self.odds(address) >= price(taken) or self._spares()
+        stays = self.reuse_probability(address) >= keep_threshold(taken) or self._spares()
         self._count += not stays
         return stays
 
     def _spares(self) -> bool:
         return (self._count + 1) % SPARED_EACH == 0 and self._spared < self._spared_most
 
-    def outstayed(self, rest: Rest, taken: float, now: float) -> bool:
+    def should_close(self, rest: IdlePeriod, taken: float, now: float) -> bool:
         """Whether a rest should end now."""
-        return not rest.spared and rest.history.odds[span(now - rest.since)] < price(taken)
+        return not rest.spared and rest.history.reuse_probability[span(now - rest.since)] < keep_threshold(
+            taken
+        )
 
-    def refresh(self, resting: Iterable[Rest], now: float) -> None:
+    def refresh(self, resting: Iterable[IdlePeriod], now: float) -> None:
         """Draw up the odds anew, if that was not done just now; ``resting``: every rest of this moment."""
         if now - self._refreshed < REFRESH_MS:
             return
@@ -166,13 +170,13 @@
         history = self._own.get(address)
         if history is None:
             history = self._own[address] = History()
-            history.at, history.odds = now, list(self._all.odds)
+            history.at, history.reuse_probability = now, list(self._all.reuse_probability)
             if len(self._own) > ADDRESSES:
                 self._own.popitem(last=False)
         self._own.move_to_end(address)
         return history
 
 
-def price(taken: float) -> float:
+def keep_threshold(taken: float) -> float:
     """The odds under which a place is worth more to others; ``taken``: share of all places in use, 0 to 1."""
     return min(max((taken - FREE_SHARE) / (DEAR_SHARE - FREE_SHARE), 0.0), 1.0)
--- a/lupinlink/net/clients/peer.py
+++ b/lupinlink/net/clients/peer.py
@@ -12,8 +12,8 @@
 
 from twisted.internet.protocol import Protocol as Connection
 
-from lupinlink.limits.progress import FIRST_HEAD_MS, HEAD_MS, Progress
-from lupinlink.limits.returns import Rest
+from lupinlink.limits.body_progress import FIRST_HEAD_TIMEOUT_MS, HEAD_TIMEOUT_MS, BodyProgress
+from lupinlink.limits.idle_reuse import IdlePeriod
 from lupinlink.net import http1
 from lupinlink.net.bodies import Budget
 from lupinlink.net.clients.phases import Phase
@@ -33,7 +33,7 @@
     """A request whose body is on its way."""
 
     call: Call
-    progress: Progress
+    progress: BodyProgress
 
 
 class Crowd(Protocol):
@@ -81,7 +81,7 @@
         self.made_at = self.heard_at = clients.clock.now()
         self.asked = False  # a whole request was here
         self.address = ""
-        self.rest: Rest | None = None  # while it stands between two requests
+        self.idle_period: IdlePeriod | None = None  # while it stands between two requests
         self.handle = 0
         self.held_ms = 0.0  # how long its first request may have waited unread; inf: not known
 
@@ -138,8 +138,10 @@
     def late(self, now: float) -> bool:
         """Whether the request that it is sending does not get on."""
         if self._intake is not None:
-            return self._intake.progress.overdue(now)
-        return now - self.since > HEAD_MS if self.asked else now - self.made_at > FIRST_HEAD_MS
+            return self._intake.progress.timed_out(now)
+        return (
+            now - self.since > HEAD_TIMEOUT_MS if self.asked else now - self.made_at > FIRST_HEAD_TIMEOUT_MS
+        )
 
     def leave(self, overdue: bool) -> None:
         """Its time is up, or others need the room."""
--- a/lupinlink/net/clients/places.py
+++ b/lupinlink/net/clients/places.py
@@ -4,7 +4,7 @@
 
 from itertools import islice
 
-from lupinlink.limits.returns import Ended, Returns, price
+from lupinlink.limits.idle_reuse import IdleEnd, IdleReuse, keep_threshold
 from lupinlink.net.clients.peer import Peer
 from lupinlink.net.clients.phases import Phase
 from lupinlink.net.counters import Counters
@@ -23,7 +23,7 @@
         self.phases: dict[Phase, dict[Peer, None]] = {phase: {} for phase in Phase}
         self.flowing: dict[Peer, None] = {}  # answers are being passed on to these
         self.receiving: dict[Peer, None] = {}  # their requests are with the decisions before their end
-        self._returns = Returns(cap)
+        self._idle_reuse = IdleReuse(cap)
 
     def enter(self, client: Peer, phase: Phase | None, anew: bool = False) -> None:
         """A connection's phase begins, or begins ``anew``; None: it has ended."""
@@ -32,15 +32,21 @@
         now = self._clock.now()
         if client.phase is not None:
             self.phases[client.phase].pop(client, None)
-        if client.rest is not None:
-            how = Ended.LEFT if phase is None else Ended.CUT if phase is Phase.CLOSING else Ended.ASKED
-            self._returns.ended(client.rest, now, how)
-            client.rest = None
+        if client.idle_period is not None:
+            how = (
+                IdleEnd.CLOSED_BY_CLIENT
+                if phase is None
+                else IdleEnd.CLOSED_BY_PROXY
+                if phase is Phase.CLOSING
+                else IdleEnd.REUSED
+            )
+            self._idle_reuse.idle_ended(client.idle_period, now, how)
+            client.idle_period = None
         client.phase, client.since = phase, now
         if phase is not None:
             self.phases[phase][client] = None
         if phase is Phase.RESTING:
-            client.rest = self._returns.began(client.address, now)
+            client.idle_period = self._idle_reuse.idle_began(client.address, now)
 
     @property
     def taken(self) -> float:
@@ -50,7 +56,7 @@
 
     def worth_keeping(self, client: Peer) -> bool:
         """Whether a connection that has its answer is worth its place."""
-        return self._returns.worth_keeping(client.address, self.taken)
+        return self._idle_reuse.worth_keeping(client.address, self.taken)
 
     def forget(self, client: Peer) -> None:
         """A connection has ended."""
@@ -108,12 +114,14 @@
     def _end_rests(self, now: float) -> None:
         """Close the rests whose place is worth more to others, the oldest first."""
         resting = self.phases[Phase.RESTING]
-        self._returns.refresh([client.rest for client in resting if client.rest is not None], now)
+        self._idle_reuse.refresh(
+            [client.idle_period for client in resting if client.idle_period is not None], now
+        )
         for client in list(resting):
-            if price(taken := self.taken) <= 0.0:
+            if keep_threshold(taken := self.taken) <= 0.0:
                 break
-            rest = client.rest
-            if rest is not None and self._returns.outstayed(rest, taken, now) and not client.unread():
+            rest = client.idle_period
+            if rest is not None and self._idle_reuse.should_close(rest, taken, now) and not client.unread():
                 client.close()
                 self._counters["given_up_resting"] += 1
 
--- a/lupinlink/net/clients/requests.py
+++ b/lupinlink/net/clients/requests.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure as Reason
 
-from lupinlink.limits.progress import Progress
+from lupinlink.limits.body_progress import BodyProgress
 from lupinlink.net import http1
 from lupinlink.net.clients.answers import Answered
 from lupinlink.net.clients.peer import Crowd, Intake
@@ -173,13 +173,13 @@
             self._know(head)
             call = self._read(head, head.target.partition("?")[0])
             call.body.length = self._parser.length
-            intake = self._intake = Intake(call, Progress(now))
+            intake = self._intake = Intake(call, BodyProgress(now))
             call.body.room = lambda: self._go_on(intake)
             if (head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, data = intake.call.body, self._parser.drain()
         if data:
-            intake.progress.came(len(data), now)
+            intake.progress.received(len(data), now)
             body.add(data)
         if not self._waiting:
             if self._clients.budget.spent:
@@ -191,13 +191,13 @@
                 self._clients.receiving[self] = None
                 self._give(intake.call)
         if body.full and self._intake is not None:
-            intake.progress.hold(now)
+            intake.progress.pause(now)
             self._read_on("body", False)
 
     def _go_on(self, intake: Intake) -> None:
         """There is room for more of the body."""
         if self._intake is intake:
-            intake.progress.go_on(self._clients.clock.now())
+            intake.progress.resume(self._clients.clock.now())
             self._read_on("body", True)
 
     def _received(self, intake: Intake, data: bytes) -> None:
--- a/lupinlink/net/discovery_client.py
+++ b/lupinlink/net/discovery_client.py
@@ -239,7 +239,7 @@
             self.tell(end.as_failed_call(watch.number, watch.asks_whole))
         elif watch is self._live:
             self._live = None
-            self.tell(api.DiscoveryWatchEnded(end.heard_at, end.silent, former=self._foreign))
+            self.tell(api.DiscoveryWatchEnded(end.heard_at, end.silent, at_previous_address=self._foreign))
             for call in self._asked:  # from now on no other watch tells what their answers would
                 if call.reached:
                     self.tell(api.DiscoveryCallReached(call.number))
--- a/lupinlink/net/list_entries.py
+++ b/lupinlink/net/list_entries.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lupinlink.interface import Endpoint, EndpointState
-from lupinlink.settings import Settings, SettingsError, address
+from lupinlink.settings import Settings, SettingsError, parse_address
 
 STATES = {
     "in_service": EndpointState.READY,
@@ -141,7 +141,7 @@
     if not isinstance(value, str) or not value.isascii() or not value.isprintable() or " " in value:
         return None
     try:
-        host, port = address(value, "endpoint")
+        host, port = parse_address(value, "endpoint")
     except (SettingsError, ValueError):  # also a port of more digits than a number may have
         return None
     return (host, port) if port else None
--- a/lupinlink/net/open_requests.py
+++ b/lupinlink/net/open_requests.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: Settings, clock: Clock, counters: Counters) -> None:
         self.counters = counters
         self._settings, self._clock = settings, clock
-        self._requests: Slots[Taken] = Slots(settings.most_held)
+        self._requests: Slots[Taken] = Slots(settings.max_open_requests)
         self._identities: set[str] = set()  # of all calls that are open, or have an attempt out
         # What a fleet file adds; without one neither is there. ``admits``: the time to tell in ms of a call
         # that is over its quota, None of one that may go on; ``settled``: nothing is owed for it any more.
--- a/lupinlink/net/premises.py
+++ b/lupinlink/net/premises.py
@@ -71,9 +71,9 @@
 
     def _find_old(self) -> socket.socket | None:
         """The channel to a process that serves at our address, if one does."""
-        if not self._config.folder or not self._config.listen[1]:
+        if not self._config.handover_dir or not self._config.listen[1]:
             return None
-        path = place(self._config.folder, self._config.listen)
+        path = place(self._config.handover_dir, self._config.listen)
         self._doorstep = Doorstep(self._reactor, path, self._called)
         return call(path)
 
@@ -119,7 +119,7 @@
                 log.warning("what was handed over does not listen here")
         if listening is None:
             listening = Listener(port, self._clients, BACKLOG, host, self._reactor)  # type: ignore[arg-type]
-            if self._config.folder:
+            if self._config.handover_dir:
                 listening.share()
         try:
             listening.startListening()
--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -196,7 +196,9 @@
         cls = self._settings.classes[taken.call.class_index]
         side = self._settle(taken)
         if side is not None:
-            self._turn_away(side, Refused.NEVER_RAN, min(self._settings.max_retry_after_ms, cls.aim_ms / 2.0))
+            self._turn_away(
+                side, Refused.NEVER_RAN, min(self._settings.max_retry_after_ms, cls.target_latency_ms / 2.0)
+            )
 
     def _attempt_broken(self, failure: object, handle: int) -> None:
         log.error("attempt failed inside", extra={"kv": {"why": str(failure)}})
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -83,7 +83,7 @@
         signal.signal(signal.SIGHUP, self._on_reload)
         signal.signal(signal.SIGUSR1, self._on_show)
         try:
-            self._discovery_client.start(self._config.known)
+            self._discovery_client.start(self._config.initial_list)
         except ListError as exc:
             raise SettingsError(f"known: {exc}") from exc
         self._open_door()
--- a/lupinlink/records.py
+++ b/lupinlink/records.py
@@ -64,12 +64,12 @@
 class Group:
     """What the endpoints of one zone and kind have in common, learnt sooner than of each alone."""
 
-    sized_at: float
+    size_updated_at: float
     load: float = 0.0  # usual log load
     size: float = 0.0  # log size
     count: int = 0  # figures taken
     cores: float = 0.0  # requests that one of them works on at a time, while others queue there
-    queueing: int = 0  # reports of that taken
+    queueing_reports: int = 0  # reports of that taken
 
 
 @dataclass(slots=True)
@@ -77,22 +77,22 @@
     """Smoothed mean and mean deviation of one class's served latency."""
 
     mean: float
-    dev: float
+    deviation: float
     count: int = 0
-    guess: float = field(init=False)  # the mean before anything was seen
+    initial_mean: float = field(init=False)  # the mean before anything was seen
 
     def __post_init__(self) -> None:
-        self.guess = self.mean
+        self.initial_mean = self.mean
 
-    def seen(self) -> float:
+    def observed_mean(self) -> float:
         """The mean of what was seen, too low rather than too high: the guess, which is no fact, left out."""
-        return self.mean - self.guess / (self.count + 1)
+        return self.mean - self.initial_mean / (self.count + 1)
 
     def add(self, latency_ms: float, least_gain: float) -> None:
         """Take one latency; the first few count evenly."""
         self.count += 1
         gain = max(least_gain, 1.0 / (self.count + 1))
-        self.dev += gain * (abs(latency_ms - self.mean) - self.dev)
+        self.deviation += gain * (abs(latency_ms - self.mean) - self.deviation)
         self.mean += gain * (latency_ms - self.mean)
 
 
@@ -100,28 +100,28 @@
 class Server:
     """What a node knows of one endpoint."""
 
-    row: Endpoint
-    known_at: float  # when the load figure was learnt
+    endpoint: Endpoint
+    load_updated_at: float  # when the load figure was learnt
     group: Group
     ready: bool = False
     tokens: float = 0.0  # sends that slow start allows
     tokens_at: float = 0.0
     load: float = 0.0  # log of the last known load over the usual one
     size: float = 0.0  # log of its learnt size over its group's
-    sized_at: float = 0.0  # when the size was last revised
-    failing: float = 0.0  # smoothed share of failures
+    size_updated_at: float = 0.0  # when the size was last revised
+    failure_rate: float = 0.0  # smoothed share of failures
     ejections: int = 0  # in a row
     ejected_until: float = 0.0
-    out: int = 0  # attempts of this node that are out
-    boost: float = 1.0  # how much more than the least promised it has shown to bear while cold
+    in_flight: int = 0  # attempts of this node that are out
+    warmup_boost: float = 1.0  # how much more than the least promised it has shown to bear while cold
     salt: int = 0  # of its name: mixes keys for the split
-    heard_at: float = 0.0  # when an attempt last brought anything back
-    silent: int = 0  # attempts overdue in a row, with nothing heard since they were sent
-    absent: int = 0  # connections in a row that did not come up
-    held: float = 0.0  # requests that it last reported to hold
-    held_at: float = 0.0  # when it did
-    sent_since: int = 0  # requests of this node sent there since
-    trial: bool = False  # back from ejection and not yet proven: one attempt at a time
+    last_response_at: float = 0.0  # when an attempt last brought anything back
+    unanswered: int = 0  # attempts overdue in a row, with nothing heard since they were sent
+    connect_failures: int = 0  # connections in a row that did not come up
+    reported_requests: float = 0.0  # requests that it last reported to hold
+    reported_at: float = 0.0  # when it did
+    sent_since_report: int = 0  # requests of this node sent there since
+    on_probation: bool = False  # back from ejection and not yet proven: one attempt at a time
 
     def usable(self, now: float) -> bool:
         """Whether it takes work and is not left out."""
@@ -129,30 +129,30 @@
 
 
 @dataclass(slots=True)
-class Period:
+class AdmissionPeriod:
     """What a node counts from one revision of the admission to the next."""
 
     start: float
     arrivals: int = 0
-    returned: int = 0  # marked as a client's repeat
+    retries: int = 0  # marked as a client's repeat
     refused: int = 0
     delay_sum: float = 0.0  # in aims
     count: int = 0
     latency_sum: float = 0.0  # in milliseconds, of those that a server held
-    held: int = 0
-    busy_sum: float = 0.0  # of the use that servers report
-    busy_count: int = 0
+    processed: int = 0
+    utilization_sum: float = 0.0  # of the use that servers report
+    utilization_count: int = 0
 
-    def report(self, busy: float) -> None:
+    def add_utilization(self, busy: float) -> None:
         """Count one server's reported use."""
-        self.busy_sum += busy
-        self.busy_count += 1
+        self.utilization_sum += busy
+        self.utilization_count += 1
 
-    def add(self, delay: float, latency_ms: float, held: bool) -> None:
-        """Count one delay; ``held``: a server had it for so long, it was not turned away at once."""
+    def add(self, delay: float, latency_ms: float, processed: bool) -> None:
+        """Count one delay; ``processed``: a server had it for so long, it was not turned away at once."""
         self.delay_sum += delay
-        self.latency_sum += latency_ms * held
-        self.held += held
+        self.latency_sum += latency_ms * processed
+        self.processed += processed
         self.count += 1
 
 
@@ -187,6 +187,6 @@
 
     arrival: Arrival
     cls: RequestClass
-    aim_at: float  # an answer by then has its full worth
+    target_at: float  # an answer by then has its full worth
     done: bool = False
     attempts: list[Attempt] = field(default_factory=list)
--- a/lupinlink/settings/config.py
+++ b/lupinlink/settings/config.py
@@ -10,14 +10,19 @@
 from typing import Any
 
 from lupinlink.settings.model import Settings, SettingsError
-from lupinlink.settings.parser import given, read_settings
+from lupinlink.settings.parser import get_or_default, read_settings
 
-LEAST_SOCKETS = 64  # under this the reserve alone would leave no room for a request
-MOST_SOCKETS = 1024  # never more, whatever is told
-VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_MGMT")  # of the environment; they go before the file
+MIN_SOCKETS = 64  # under this the reserve alone would leave no room for a request
+MAX_SOCKETS = 1024  # never more, whatever is told
+ENVIRONMENT_VARIABLES = (
+    "LB_NAME",
+    "LB_LISTEN",
+    "LB_DISCOVERY",
+    "LB_MGMT",
+)  # of the environment; they go before the file
 
 
-def address(text: str, what: str) -> tuple[str, int]:
+def parse_address(text: str, what: str) -> tuple[str, int]:
     """Split host:port."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= 65535:
@@ -35,13 +40,13 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: Mapping[str, Any]  # in discovery's form
+    initial_list: Mapping[str, Any]  # in discovery's form
     settings: Settings
     mgmt: tuple[str, int] | None = None  # where operators call; None: no door
-    folder: str = ""  # what an old and a new process share for an upgrade; empty: no handover
+    handover_dir: str = ""  # what an old and a new process share for an upgrade; empty: no handover
 
 
-def load_config(env: Mapping[str, str], path: str | None = None, again: bool = False) -> Config:
+def load_config(env: Mapping[str, str], path: str | None = None, reload: bool = False) -> Config:
     """Read the file that LB_CONFIG (or ``path``) names; LB_NAME, LB_LISTEN, LB_DISCOVERY and
     LB_MGMT go before it.
 
@@ -57,29 +62,29 @@
         raise SettingsError(f"{file}: {' '.join(str(exc).split())}") from exc
     if not isinstance(raw, dict):
         raise SettingsError(f"{file}: not a JSON object")
-    limits, known = given(raw, "limits", {}), given(raw, "known", {})
-    if not isinstance(limits, dict) or not isinstance(known, dict):
+    limits, initial_list = get_or_default(raw, "limits", {}), get_or_default(raw, "known", {})
+    if not isinstance(limits, dict) or not isinstance(initial_list, dict):
         raise SettingsError(f"{file}: limits and known must be objects")
     try:
-        seed = given(raw, "seed", "0")
-        sockets = int(given(limits, "sockets", 1024))
-        memory_mb = float(given(limits, "memory_mb", 192))
+        seed = get_or_default(raw, "seed", "0")
+        sockets = int(get_or_default(limits, "sockets", 1024))
+        memory_mb = float(get_or_default(limits, "memory_mb", 192))
         number = seed if isinstance(seed, int) else int(str(seed), 16)
     except (ValueError, TypeError) as exc:
         raise SettingsError(f"{file}: bad seed or limits: {exc}") from exc
-    if sockets < LEAST_SOCKETS or not (memory_mb > 0 and math.isfinite(memory_mb)):
-        raise SettingsError(f"{file}: limits.sockets must be {LEAST_SOCKETS} at least, memory_mb positive")
-    mgmt = str(env.get("LB_MGMT") or given(raw, "mgmt", ""))
-    discovery = "" if again and given(raw, "discovery", "") else env.get("LB_DISCOVERY", "")
+    if sockets < MIN_SOCKETS or not (memory_mb > 0 and math.isfinite(memory_mb)):
+        raise SettingsError(f"{file}: limits.sockets must be {MIN_SOCKETS} at least, memory_mb positive")
+    mgmt = str(env.get("LB_MGMT") or get_or_default(raw, "mgmt", ""))
+    discovery = "" if reload and get_or_default(raw, "discovery", "") else env.get("LB_DISCOVERY", "")
     return Config(
-        name=str(env.get("LB_NAME") or given(raw, "name", "proxy")),
-        listen=address(str(env.get("LB_LISTEN") or given(raw, "listen", "")), "listen"),
-        discovery=address(str(discovery or given(raw, "discovery", "")), "discovery"),
+        name=str(env.get("LB_NAME") or get_or_default(raw, "name", "proxy")),
+        listen=parse_address(str(env.get("LB_LISTEN") or get_or_default(raw, "listen", "")), "listen"),
+        discovery=parse_address(str(discovery or get_or_default(raw, "discovery", "")), "discovery"),
         seed=number,
-        sockets=min(sockets, MOST_SOCKETS),
+        sockets=min(sockets, MAX_SOCKETS),
         memory_mb=memory_mb,
-        known=known,
-        settings=read_settings(given(raw, "settings", {})),
-        mgmt=address(mgmt, "mgmt") if mgmt else None,
-        folder=env.get("TMPDIR", ""),
+        initial_list=initial_list,
+        settings=read_settings(get_or_default(raw, "settings", {})),
+        mgmt=parse_address(mgmt, "mgmt") if mgmt else None,
+        handover_dir=env.get("TMPDIR", ""),
     )
--- a/lupinlink/settings/model.py
+++ b/lupinlink/settings/model.py
@@ -24,7 +24,7 @@
     UNSAFE = 2
 
 
-class Scope(IntEnum):
+class DedupScope(IntEnum):
     """The endpoints that share one memory of keyed requests."""
 
     ALL = 0
@@ -36,12 +36,12 @@
 class RequestClass:
     """One class of requests."""
 
-    aim_ms: float
+    target_latency_ms: float
     deadline_ms: float
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth that an answer after the aim still has
+    value: float = 1.0
+    late_value: float = 0.0  # share of the worth that an answer after the aim still has
     effect: Effect = Effect.UNSAFE
-    scope: Scope = Scope.CELL
+    scope: DedupScope = DedupScope.CELL
     dedup_ms: float = 0.0
     name: str = ""  # as requests on sockets give it
 
@@ -65,13 +65,13 @@
     rank: int = 0  # this node's number among them
     subscribe: bool = False  # membership must be asked for
     must_ask_ms: float = 10000.0
-    over_quota_worth: float = 1.0
-    worth_by_work: bool = False
+    over_quota_value: float = 1.0
+    value_by_work: bool = False
     cross_zone_price: float = 0.0
     cold_share: float = 0.1
     cold_ms: float = 0.0
-    fall_multiple: float = 3.0  # sent more than this times its present capacity
-    fall_ms: float = 3000.0  # over such a span, a cold server falls
+    cold_overload_ratio: float = 3.0  # sent more than this times its present capacity
+    cold_overload_ms: float = 3000.0  # over such a span, a cold server falls
     max_attempts: int = 1
     may_cancel: bool = False
     may_probe: bool = False
@@ -85,4 +85,4 @@
     kinds: tuple[str, ...] = ()
     dial_timeout_ms: float = 200.0
     idle_close_ms: float = 10000.0
-    most_held: int = 20000
+    max_open_requests: int = 20000
--- a/lupinlink/settings/parser.py
+++ b/lupinlink/settings/parser.py
@@ -6,10 +6,10 @@
 import math
 from typing import Any
 
-from lupinlink.settings.model import Effect, RequestClass, Scope, Settings, SettingsError, Tenant
+from lupinlink.settings.model import DedupScope, Effect, RequestClass, Settings, SettingsError, Tenant
 
 EFFECT = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
-SCOPE = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+SCOPE = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 REPORT_FIELDS = {
     "rif": "in_flight",
     "q": "queued",
@@ -29,7 +29,7 @@
 }
 
 
-def given(table: Any, key: str, default: Any) -> Any:
+def get_or_default(table: Any, key: str, default: Any) -> Any:
     """What a table says under a key; null is as good as absent."""
     value = table.get(key)
     return default if value is None else value
@@ -46,57 +46,63 @@
 def read_settings(raw: Any) -> Settings:
     """The settings object itself; unknown keys are skipped, absent ones take defaults."""
     try:
-        limits, rules = given(raw, "Limits", {}), given(raw, "Invariants", {})
-        report = given(raw, "Report", {})
+        limits, rules = get_or_default(raw, "Limits", {}), get_or_default(raw, "Invariants", {})
+        report = get_or_default(raw, "Report", {})
         classes = tuple(
             RequestClass(
-                aim_ms=max(1.0, min(float(given(c, "AimMs", math.inf)), float(c["HardLimitMs"]))),
+                target_latency_ms=max(
+                    1.0, min(float(get_or_default(c, "AimMs", math.inf)), float(c["HardLimitMs"]))
+                ),
                 deadline_ms=float(c["HardLimitMs"]),
-                worth=float(given(c, "Importance", 1.0)),
-                late_worth=min(1.0, max(0.0, float(given(c, "LateWorth", 0.0)))),
-                effect=EFFECT[given(c, "Effect", "side_effect")],
-                scope=SCOPE[given(c, "Group", "cell")],
-                dedup_ms=float(given(c, "MemorySpanMs", 0.0)),
-                name=str(given(c, "Name", "")),
+                value=float(get_or_default(c, "Importance", 1.0)),
+                late_value=min(1.0, max(0.0, float(get_or_default(c, "LateWorth", 0.0)))),
+                effect=EFFECT[get_or_default(c, "Effect", "side_effect")],
+                scope=SCOPE[get_or_default(c, "Group", "cell")],
+                dedup_ms=float(get_or_default(c, "MemorySpanMs", 0.0)),
+                name=str(get_or_default(c, "Name", "")),
             )
             for c in raw["Classes"]
         )
         if not classes:
             raise SettingsError("settings name no class")
-        how = given(report, "How", "none")
+        how = get_or_default(report, "How", "none")
         return Settings(
             classes=classes,
             tenants=tuple(
-                Tenant(float(given(t, "QuotaPerS", 0.0)), str(given(t, "Name", "")))
-                for t in given(raw, "Tenants", [])
+                Tenant(float(get_or_default(t, "QuotaPerS", 0.0)), str(get_or_default(t, "Name", "")))
+                for t in get_or_default(raw, "Tenants", [])
             ),
-            zone=int(given(raw, "MyZone", 0)),
-            peers=max(1, int(given(raw, "PeersTotal", 1))),
-            rank=int(given(raw, "Rank", 0)),
-            subscribe=given(raw, "MembershipMode", "automatic") == "subscribe",
-            must_ask_ms=float(given(rules, "MustAskInMs", 10000.0)),
-            over_quota_worth=float(given(raw, "OverShareWorth", 1.0)),
-            worth_by_work=given(raw, "ValueBy", "request") == "work",
-            cross_zone_price=float(given(given(raw, "Prices", {}), "CrossZone", 0.0)),
-            cold_share=float(given(rules, "ColdShare", 0.1)),
-            cold_ms=float(given(rules, "ColdMs", 0.0)),
-            fall_multiple=max(1.0, float(given(rules, "FallMultiple", 3.0))),
-            fall_ms=max(1.0, float(given(rules, "FallMs", 3000.0))),
-            max_attempts=int(given(limits, "AttemptsCap", 1)),
-            may_cancel=bool(given(limits, "Cancel", False)),
-            may_probe=bool(given(limits, "Probes", False)),
+            zone=int(get_or_default(raw, "MyZone", 0)),
+            peers=max(1, int(get_or_default(raw, "PeersTotal", 1))),
+            rank=int(get_or_default(raw, "Rank", 0)),
+            subscribe=get_or_default(raw, "MembershipMode", "automatic") == "subscribe",
+            must_ask_ms=float(get_or_default(rules, "MustAskInMs", 10000.0)),
+            over_quota_value=float(get_or_default(raw, "OverShareWorth", 1.0)),
+            value_by_work=get_or_default(raw, "ValueBy", "request") == "work",
+            cross_zone_price=float(get_or_default(get_or_default(raw, "Prices", {}), "CrossZone", 0.0)),
+            cold_share=float(get_or_default(rules, "ColdShare", 0.1)),
+            cold_ms=float(get_or_default(rules, "ColdMs", 0.0)),
+            cold_overload_ratio=max(1.0, float(get_or_default(rules, "FallMultiple", 3.0))),
+            cold_overload_ms=max(1.0, float(get_or_default(rules, "FallMs", 3000.0))),
+            max_attempts=int(get_or_default(limits, "AttemptsCap", 1)),
+            may_cancel=bool(get_or_default(limits, "Cancel", False)),
+            may_probe=bool(get_or_default(limits, "Probes", False)),
             max_retry_after_ms=(
-                float(given(limits, "MaxRetryAfterMs", 0.0)) if given(limits, "RetryAfter", False) else 0.0
+                float(get_or_default(limits, "MaxRetryAfterMs", 0.0))
+                if get_or_default(limits, "RetryAfter", False)
+                else 0.0
+            ),
+            clients_mark_retries=bool(
+                get_or_default(get_or_default(raw, "ClientHabits", {}), "MarksRetry", False)
             ),
-            clients_mark_retries=bool(given(given(raw, "ClientHabits", {}), "MarksRetry", False)),
             reports_in_answers=how == "answers",
             reports_in_probes=how in ("answers", "probe"),
-            warm_keys=bool(given(given(raw, "FamilyInfo", {}), "WarmKeys", False)),
-            zones=tuple(map(str, given(raw, "Zones", []))),
-            kinds=tuple(map(str, given(raw, "MachineTypes", []))),
-            dial_timeout_ms=float(given(limits, "DialTimeoutMs", 200.0)),
-            idle_close_ms=float(given(limits, "IdleCloseMs", 10000.0)),
-            most_held=int(given(limits, "MostHeld", 20000)),
+            warm_keys=bool(get_or_default(get_or_default(raw, "FamilyInfo", {}), "WarmKeys", False)),
+            zones=tuple(map(str, get_or_default(raw, "Zones", []))),
+            kinds=tuple(map(str, get_or_default(raw, "MachineTypes", []))),
+            dial_timeout_ms=float(get_or_default(limits, "DialTimeoutMs", 200.0)),
+            idle_close_ms=float(get_or_default(limits, "IdleCloseMs", 10000.0)),
+            max_open_requests=int(get_or_default(limits, "MostHeld", 20000)),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
         raise SettingsError(f"bad settings: {type(exc).__name__}: {exc}") from exc
--- a/lupinlink/spread/aperture.py
+++ b/lupinlink/spread/aperture.py
@@ -13,8 +13,12 @@
 from itertools import chain, islice
 from typing import TypeVar
 
-LEAST = 32  # servers in a stretch: with fewer, one that fails is felt, and a key finds too few homes
-COVER = 16  # proxies that ask each server, at least: of fewer, one with much traffic would show
+MIN_SUBSET_SIZE = (
+    32  # servers in a stretch: with fewer, one that fails is felt, and a key finds too few homes
+)
+MIN_PROXIES_PER_SERVER = (
+    16  # proxies that ask each server, at least: of fewer, one with much traffic would show
+)
 
 
 Member = TypeVar("Member")
@@ -30,18 +34,18 @@
 
     def size(self, servers: int) -> int:
         """Servers in the stretch, of so many."""
-        return min(servers, max(LEAST, -(-COVER * servers // self._peers)))
+        return min(servers, max(MIN_SUBSET_SIZE, -(-MIN_PROXIES_PER_SERVER * servers // self._peers)))
 
-    def near(self, salts: Sequence[int], usable: Sequence[bool]) -> list[int]:
+    def subset(self, salts: Sequence[int], usable: Sequence[bool]) -> list[int]:
         """The stretch, as indices in rising order.
 
         ``salts``: each listed server's place in the order, alike at all proxies. ``usable``: whether this
         proxy may ask it at all just now; past those that it may not, the stretch goes on.
         """
         order = sorted(range(len(salts)), key=salts.__getitem__)
-        return sorted(self.walk(order, usable.__getitem__))
+        return sorted(self.ring_subset(order, usable.__getitem__))
 
-    def walk(self, ring: Sequence[Member], usable: Callable[[Member], bool]) -> list[Member]:
+    def ring_subset(self, ring: Sequence[Member], usable: Callable[[Member], bool]) -> list[Member]:
         """The stretch of a ring that all proxies have in the same order; ``usable`` as for ``near``."""
         first = self._rank * len(ring) // self._peers
         around = chain(islice(ring, first, None), islice(ring, first))
--- a/lupinlink/spread/keys.py
+++ b/lupinlink/spread/key_affinity.py
@@ -30,7 +30,7 @@
     return crc32(name.encode()) * HASH_MULTIPLIER & 0xFFFFFFFF
 
 
-class Homes:
+class KeyPopularity:
     """Counts keys as they arrive at one proxy; holds at most ``2 * REMEMBERED`` of them."""
 
     def __init__(self, peers: int) -> None:
@@ -43,7 +43,7 @@
     def __len__(self) -> int:
         return len(self._counts)
 
-    def met(self, mix: int) -> None:
+    def record(self, mix: int) -> None:
         """A request with the key of this checksum has arrived."""
         self._counts[mix] = self._counts.get(mix, 0.0) + 1.0
         self._total += 1.0
@@ -51,7 +51,7 @@
             self._counts = {key: count / 2.0 for key, count in self._counts.items() if count > 1.0}
             self._total = sum(self._counts.values())
 
-    def number(self, mix: int, servers: int) -> int:
+    def server_count(self, mix: int, servers: int) -> int:
         """How many homes a key has among so many servers, at least 1.
 
         One arrival less than were counted: a key that was met once has no share worth the name.
@@ -59,16 +59,16 @@
         share = max(0.0, self._counts.get(mix, 0.0) - 1.0) / max(self._total, LEAST)
         return min(servers, 1 + int(share * servers / self._bound))
 
-    def order(
+    def preferred_servers(
         self, key: str, salts: Sequence[int], weights: Sequence[float], most: int, chance: float
     ) -> list[int]:
         """The first servers to ask with a key that has arrived, as indices; see ``homes_first``."""
-        mix = checksum(key)
-        self.met(mix)
-        return homes_first(mix, salts, weights, most, self.number(mix, len(salts)), chance)
+        mix = hash_key(key)
+        self.record(mix)
+        return preferred_first(mix, salts, weights, most, self.server_count(mix, len(salts)), chance)
 
 
-def homes_first(
+def preferred_first(
     mix: int, salts: Sequence[int], weights: Sequence[float], most: int, homes: int, chance: float
 ) -> list[int]:
     """The first places to ask with the key of this checksum, at least ``most`` where there are so many.
@@ -93,6 +93,6 @@
     return [place for _, place in sorted(scores, reverse=True)[:most]]
 
 
-def checksum(key: str) -> int:
+def hash_key(key: str) -> int:
     """The 32 bits by which a key is mixed with servers."""
     return crc32(key.encode())
--- a/lupinlink/spread/recent_use.py
+++ b/lupinlink/spread/recent_use.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from typing import Generic, TypeVar
 
-MOST_REMEMBERED = 512  # of them; the one first used longest ago is forgotten
+MAX_REMEMBERED = 512  # of them; the one first used longest ago is forgotten
 
 Item = TypeVar("Item")
 
@@ -24,10 +24,10 @@
         """It has just been used."""
         self._forget_until(now)
         self._used_at.setdefault(item, now)
-        if len(self._used_at) > MOST_REMEMBERED:
+        if len(self._used_at) > MAX_REMEMBERED:
             self._forget_first()
 
-    def number(self, now: float) -> int:
+    def count(self, now: float) -> int:
         """How many there are."""
         self._forget_until(now)
         return len(self._used_at)
--- a/lupinlink/spread/weighted_buckets.py
+++ b/lupinlink/spread/weighted_buckets.py
@@ -13,10 +13,10 @@
 from itertools import accumulate
 from typing import Generic, TypeVar
 
-from lupinlink.spread.keys import homes_first, ranked
+from lupinlink.spread.key_affinity import preferred_first, ranked
 
-MOST_IN_BUCKET = 256  # in the mean; beyond it there are twice as many buckets
-LEAST_IN_BUCKET = 64  # in the mean; below it there are half as many
+MAX_MEAN_BUCKET_SIZE = 256  # in the mean; beyond it there are twice as many buckets
+MIN_MEAN_BUCKET_SIZE = 64  # in the mean; below it there are half as many
 
 Item = TypeVar("Item")
 
@@ -91,8 +91,8 @@
         self._sums = None
         bucket = self._buckets[salt & (len(self._buckets) - 1)]
         self._places[item] = bucket, bucket.add(item, salt, weight)
-        if len(self._places) > MOST_IN_BUCKET * len(self._buckets):
-            self._lay_out(2 * len(self._buckets))
+        if len(self._places) > MAX_MEAN_BUCKET_SIZE * len(self._buckets):
+            self._rebuild(2 * len(self._buckets))
 
     def remove(self, item: Item) -> None:
         """Take an item out, if it is here."""
@@ -103,8 +103,8 @@
         moved = bucket.remove(place)
         if moved != item:
             self._places[moved] = bucket, place
-        if len(self._buckets) > 1 and len(self._places) < LEAST_IN_BUCKET * len(self._buckets):
-            self._lay_out(len(self._buckets) // 2)
+        if len(self._buckets) > 1 and len(self._places) < MIN_MEAN_BUCKET_SIZE * len(self._buckets):
+            self._rebuild(len(self._buckets) // 2)
 
     def set(self, item: Item, weight: float) -> None:
         """Another weight for an item that is here."""
@@ -117,7 +117,7 @@
         bucket, place = self._places[item]
         return bucket.weights[place]
 
-    def some(self, turn: int) -> list[Item]:
+    def bucket_items(self, turn: int) -> list[Item]:
         """The items of one bucket; of another at each of as many turns as there are buckets."""
         return self._buckets[turn % len(self._buckets)].items[:]
 
@@ -134,28 +134,28 @@
         rest = point - (sums[index] - bucket.total)
         return bucket.at(min(max(rest / bucket.total, 0.0), 1.0))
 
-    def homes(self, mix: int, number: int, most: int, chance: float) -> list[Item]:
+    def preferred(self, mix: int, number: int, most: int, chance: float) -> list[Item]:
         """The first items to ask with the key of this checksum, at least ``most`` where there are so many.
 
         ``number``: how many homes the key has; ``chance``: from [0, 1), which of them comes first.
         """
-        bucket, number, chance = self._home_bucket(mix, number, chance)
-        order = homes_first(mix, bucket.salts, bucket.weights, most, number, chance)
+        bucket, number, chance = self._bucket_for_key(mix, number, chance)
+        order = preferred_first(mix, bucket.salts, bucket.weights, most, number, chance)
         return [bucket.items[place] for place in order]
 
-    def _home_bucket(self, mix: int, number: int, chance: float) -> tuple[Bucket[Item], int, float]:
+    def _bucket_for_key(self, mix: int, number: int, chance: float) -> tuple[Bucket[Item], int, float]:
         """The bucket to ask in: of a key with many homes one of several, each with its part of them."""
         filled = [bucket for bucket in self._buckets if bucket.items]
         if len(filled) == 1:
             return filled[0], number, chance
-        used = min(len(filled), -(-number // LEAST_IN_BUCKET))
+        used = min(len(filled), -(-number // MIN_MEAN_BUCKET_SIZE))
         indices = range(len(filled))
         order = ranked(mix, [_bucket_salt(i) for i in indices], [b.total for b in filled], used)
         turn = chance * used
         bucket = filled[order[int(turn)]]
         return bucket, min(-(-number // used), len(bucket.items)), turn % 1.0
 
-    def _lay_out(self, buckets: int) -> None:
+    def _rebuild(self, buckets: int) -> None:
         """Spread all items over so many buckets; a power of two."""
         self._sums = None
         before, self._buckets = self._buckets, [Bucket() for _ in range(buckets)]
--- a/tests/fleet_side.py
+++ b/tests/fleet_side.py
@@ -84,7 +84,7 @@
 if __name__ == "__main__":
     try:
         sys.exit(
-            serve(load_config(os.environ, None), partial(load_config, os.environ, None, again=True), Side())
+            serve(load_config(os.environ, None), partial(load_config, os.environ, None, reload=True), Side())
         )
     except SettingsError as exc:
         sys.exit(told_off(exc))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,7 @@
 
 SAFE = RequestClass(300.0, 1000.0, 5.0, 0.5, Effect.SAFE)
 UNSAFE = RequestClass(300.0, 1000.0, 5.0, 0.5, Effect.UNSAFE)
-KEYED = RequestClass(300.0, 6000.0, 1.0, 0.5, Effect.KEYED, api.Scope.CELL, 2000.0)
+KEYED = RequestClass(300.0, 6000.0, 1.0, 0.5, Effect.KEYED, api.DedupScope.CELL, 2000.0)
 
 
 class Stand:
--- a/tests/other_settings.py
+++ b/tests/other_settings.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 
 from lupinlink import interface as api
-from lupinlink.interface import Effect, RequestClass, Scope, Settings
+from lupinlink.interface import DedupScope, Effect, RequestClass, Settings
 
 SITE = Settings(
     classes=(
         RequestClass(800.0, 2000.0, 1.0, 0.2, Effect.SAFE),
         RequestClass(750.0, 4000.0, 5.0, 0.25, Effect.SAFE),
-        RequestClass(750.0, 2000.0, 2.0, 0.5, Effect.KEYED, Scope.ZONE, 2000.0),
+        RequestClass(750.0, 2000.0, 2.0, 0.5, Effect.KEYED, DedupScope.ZONE, 2000.0),
     ),
     tenants=(api.Tenant(40.0), api.Tenant(40.0)),
     peers=2,
@@ -36,7 +36,12 @@
 
 def times(factor: float, **kw: object) -> Settings:
     shorter = tuple(
-        replace(c, aim_ms=c.aim_ms * factor, deadline_ms=c.deadline_ms * factor, dedup_ms=c.dedup_ms * factor)
+        replace(
+            c,
+            target_latency_ms=c.target_latency_ms * factor,
+            deadline_ms=c.deadline_ms * factor,
+            dedup_ms=c.dedup_ms * factor,
+        )
         for c in SITE.classes
     )
     return replace(SITE, classes=shorter, **kw)  # type: ignore[arg-type]
@@ -49,14 +54,14 @@
     "twenty times the time": times(20.0, max_retry_after_ms=500.0),
     "one class": replace(SITE, classes=SITE.classes[:1]),
     "unsafe": changed(effect=Effect.UNSAFE),
-    "keyed, by cell": changed(effect=Effect.KEYED, scope=Scope.CELL),
+    "keyed, by cell": changed(effect=Effect.KEYED, scope=DedupScope.CELL),
     "keyed, nothing is remembered": changed(effect=Effect.KEYED, dedup_ms=0.0),
-    "keyed, 300 ms": changed(effect=Effect.KEYED, scope=Scope.ALL, dedup_ms=300.0),
-    "an aim of the deadline": changed(aim_ms=2000.0),
-    "an aim of nothing": changed(aim_ms=1.0),
+    "keyed, 300 ms": changed(effect=Effect.KEYED, scope=DedupScope.ALL, dedup_ms=300.0),
+    "an aim of the deadline": changed(target_latency_ms=2000.0),
+    "an aim of nothing": changed(target_latency_ms=1.0),
     "no tenants": replace(SITE, tenants=()),
     "quotas of nothing": replace(SITE, tenants=(api.Tenant(0.0),) * 2),
-    "no worth": changed(worth=0.0, late_worth=0.0),
+    "no worth": changed(value=0.0, late_value=0.0),
     "one attempt": replace(SITE, max_attempts=1),
     "no calling off, no probes, no advice": replace(
         SITE, may_cancel=False, may_probe=False, max_retry_after_ms=0.0
@@ -65,6 +70,8 @@
     "no reports, no keys": replace(SITE, reports_in_answers=False, reports_in_probes=False, warm_keys=False),
     "dials of a second": replace(SITE, dial_timeout_ms=1000.0),
     "asked for, 200 processes": replace(SITE, subscribe=True, must_ask_ms=4000.0, peers=200, rank=77),
-    "never cold": replace(SITE, cold_share=0.0, cold_ms=0.0, fall_ms=1.0, fall_multiple=1.0),
-    "cold for ever": replace(SITE, cold_share=0.01, cold_ms=1e7, fall_ms=500.0, fall_multiple=1.0),
+    "never cold": replace(SITE, cold_share=0.0, cold_ms=0.0, cold_overload_ms=1.0, cold_overload_ratio=1.0),
+    "cold for ever": replace(
+        SITE, cold_share=0.01, cold_ms=1e7, cold_overload_ms=500.0, cold_overload_ratio=1.0
+    ),
 }
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from lupinlink.settings import VARIABLES
+from lupinlink.settings import ENVIRONMENT_VARIABLES
 from tests.peers import (
     BROKEN_BYTES,
     NEVER_RAN,
@@ -83,7 +83,7 @@
         self.addCleanup(folder.cleanup)
         self.file = file = Path(folder.name) / "config.json"
         file.write_text(config if isinstance(config, str) else json.dumps(config))
-        kept = {n: v for n, v in os.environ.items() if n not in VARIABLES}
+        kept = {n: v for n, v in os.environ.items() if n not in ENVIRONMENT_VARIABLES}
         process = subprocess.Popen(
             [sys.executable, "-m", self.module, *words],
             cwd=ROOT, env={**kept, "LB_CONFIG": str(file), **(env or {})},
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinlink.adapter import Host, WireError
+from lupinlink.adapter import NodeHost, WireError
 from lupinlink.settings import Effect, parse_settings
 
 SETTINGS = json.dumps(
@@ -36,7 +36,7 @@
 
 def run(text: str) -> str:
     sink = io.StringIO()
-    Host().serve(io.StringIO(text), sink)
+    NodeHost().serve(io.StringIO(text), sink)
     return sink.getvalue()
 
 
@@ -110,7 +110,7 @@
 def test_fuzzed_lines_never_leave_half_a_reply(noise: str) -> None:
     sink = io.StringIO()
     with contextlib.suppress(WireError, ValueError, KeyError, IndexError):
-        Host().serve(io.StringIO(batch(0.0, create("node_1")) + batch(1.0, noise + "\n")), sink)
+        NodeHost().serve(io.StringIO(batch(0.0, create("node_1")) + batch(1.0, noise + "\n")), sink)
     assert sink.getvalue().endswith("YIELD\n")
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -17,7 +17,16 @@
     Admission,
     SheddingOrder,
 )
-from lupinlink.interface import Arrival, Effect, LatencyStats, Period, RequestClass, Settings, Status, Tenant
+from lupinlink.interface import (
+    AdmissionPeriod,
+    Arrival,
+    Effect,
+    LatencyStats,
+    RequestClass,
+    Settings,
+    Status,
+    Tenant,
+)
 from tests.helpers import SAFE, Stand, sends
 
 D_REF = TARGET + LATE_TARGET * 0.5
@@ -121,7 +130,7 @@
     settings = Settings(
         classes=(RequestClass(300.0, 1000.0, 5.0, 0.5, Effect.SAFE),),
         tenants=(Tenant(10.0), Tenant(10.0)),
-        over_quota_worth=0.1,
+        over_quota_value=0.1,
     )
     order, rng = SheddingOrder(settings), Random(3)
     for _ in range(3):
@@ -153,11 +162,11 @@
         assert sends(stand.ask(f"r{i}"))
     delays = []
     for full in (0, 200):
-        period = Period(0.0)
+        period = AdmissionPeriod(0.0)
         for _ in range(20):
-            period.add(1.0, SAFE.aim_ms * 4.0, held=True)
+            period.add(1.0, SAFE.target_latency_ms * 4.0, processed=True)
         for _ in range(full):
-            period.add(1.5, SAFE.aim_ms * 1.5, held=False)
+            period.add(1.5, SAFE.target_latency_ms * 1.5, processed=False)
         delays.append(stand.node.delay(period, 1.0, 900.0))
     assert delays[0] is not None and delays[1] is not None
     assert delays[0] == pytest.approx(25 / 300.0 * 1000.0 / 20)  # out over passing through, in aims
--- a/tests/test_backends_asked.py
+++ b/tests/test_backends_asked.py
@@ -9,8 +9,8 @@
 
 from lupinlink.brain.choice import PICK_TRIES
 from lupinlink.brain.dispatching import LOOK_MS, MOST_ASKED
-from lupinlink.interface import DiscoveryWatchEnded, Endpoint, Scope, Settings, Status
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
+from lupinlink.interface import DedupScope, DiscoveryWatchEnded, Endpoint, Settings, Status
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE
 from tests.counted_servers import CountedStand, reads_of
 from tests.helpers import KEYED, SAFE, Stand, sends
 
@@ -57,7 +57,7 @@
     # Guards against held requests that each ask every backend at every look.
     def test_requests_that_wait_for_discovery(self) -> None:
         def hold(stand: CountedStand) -> None:
-            stand.give(DiscoveryWatchEnded(heard_at=stand.now, silent=False))
+            stand.give(DiscoveryWatchEnded(last_activity_at=stand.now, timed_out=False))
             stand.until(stand.now + 500.0)
             self.assertTrue(stand.node.list_holds(stand.now))
 
@@ -104,7 +104,9 @@
 
     # Guards against looking through all backends for each of many requests that none of them may have.
     def test_requests_that_no_free_backend_may_have(self) -> None:
-        zone_wide = replace(KEYED, scope=Scope.ZONE, dedup_ms=5000.0, deadline_ms=3000.0, aim_ms=3000.0)
+        zone_wide = replace(
+            KEYED, scope=DedupScope.ZONE, dedup_ms=5000.0, deadline_ms=3000.0, target_latency_ms=3000.0
+        )
         stand = Stand(Settings(classes=(zone_wide,), peers=6, max_attempts=3), "")
         lost = [Endpoint(f"lost-{i}", zone=1) for i in range(8)]
         stand.members(lost)
@@ -118,7 +120,7 @@
         looks = 1000.0 / LOOK_MS
         self.assertEqual(len(stand.node.waiting), WAITING)
         self.assertLess(
-            asked.call_count, (looks + 1) * (MOST_ASKED + 2 * MOST_IN_BUCKET + WAITING * PICK_TRIES)
+            asked.call_count, (looks + 1) * (MOST_ASKED + 2 * MAX_MEAN_BUCKET_SIZE + WAITING * PICK_TRIES)
         )
 
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -27,7 +27,7 @@
     "brain.discovery_answers brain.discovery_outage brain.discovery_times brain.dispatching "
     "brain.health brain.learning brain.ready_capacity brain.repeats brain.stretch brain.waiting "
     "cli clock commands commands.serve commands.told errors "
-    "interface limits limits.foresight limits.progress limits.returns list_trust lupinlink net "
+    "interface limits limits.body_progress limits.capacity_bound limits.idle_reuse list_trust lupinlink net "
     "net.application_servers net.application_servers.attempts net.application_servers.composing "
     "net.application_servers.connection net.application_servers.dialling "
     "net.application_servers.idle_connections "
@@ -43,7 +43,7 @@
     "net.loop_turns net.management net.open_requests net.parts net.premises "
     "net.process net.proxy net.service net.slots net.socket_peek net.terms net.typed net.watch "
     "net.watch_dial net.watch_listener net.wheel node records settings settings.config settings.model "
-    "settings.parser spread spread.aperture spread.keys spread.recent_use "
+    "settings.parser spread spread.aperture spread.key_affinity spread.recent_use "
     "spread.weighted_buckets"
 )
 
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -47,12 +47,14 @@
 
     def test_reports_that_make_no_sense_leave_no_mark(self) -> None:
         self.learn()
-        before = (self.server.held, self.server.group.cores, self.limits.usual_aims)
+        before = (self.server.reported_requests, self.server.group.cores, self.limits.usual_aims)
         for held, queued in ((math.nan, 1.0), (2.0, 3.0), (-1.0, -2.0), (math.inf, 1.0), (3.0, math.nan)):
             self.limits.report(self.server, queueing(held, queued), 1.0)
         for aims in (math.nan, math.inf, -1.0, 0.0):
             self.limits.answered(queueing(0.0, 0.0), aims)
-        self.assertEqual((self.server.held, self.server.group.cores, self.limits.usual_aims), before)
+        self.assertEqual(
+            (self.server.reported_requests, self.server.group.cores, self.limits.usual_aims), before
+        )
 
     def test_one_odd_report_or_answer_moves_the_limit_by_little(self) -> None:
         self.learn()
@@ -64,7 +66,7 @@
 
     def test_what_it_holds_is_its_report_as_it_fades_and_the_sends_since(self) -> None:
         self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
-        self.server.sent_since = 2
+        self.server.sent_since_report = 2
         self.assertAlmostEqual(self.limits.holds(self.server, 0.0), 5.0)
         self.assertAlmostEqual(self.limits.holds(self.server, FADE_MS), 2.0 + 3.0 / math.e)
         self.limits.report(self.server, queueing(1.0, 0.0), 10.0)
@@ -74,7 +76,7 @@
         self.learn()
         soon = Request(Arrival("r", 0, 0, 880.0), CLASS, AIM_MS)
         self.assertLess(self.limits.latest_begin(soon), AIM_MS - WORK_MS)
-        late = Request(Arrival("r", 0, 0, 880.0), RequestClass(AIM_MS, 880.0, late_worth=0.2), AIM_MS)
+        late = Request(Arrival("r", 0, 0, 880.0), RequestClass(AIM_MS, 880.0, late_value=0.2), AIM_MS)
         self.assertEqual(self.limits.latest_begin(late), AIM_MS)
 
 
@@ -82,11 +84,11 @@
     def test_a_full_server_is_passed_over_and_asked_again_once_it_has_room(self) -> None:
         stand = Stand(Settings((CLASS,), reports_in_answers=True), "ab")
         for server in stand.node.servers.values():
-            server.group.queueing, server.group.cores = LEAST_REPORTS, 1.0
-            server.held, server.held_at = 9.0, stand.now
+            server.group.queueing_reports, server.group.cores = LEAST_REPORTS, 1.0
+            server.reported_requests, server.reported_at = 9.0, stand.now
         stand.node.limits.known = True
         self.assertFalse([a for a in stand.ask("r1") if isinstance(a, Send)])
-        stand.node.servers["b"].held = 0.0
+        stand.node.servers["b"].reported_requests = 0.0
         sent = [a.endpoint for a in stand.until(stand.now + 60.0) if isinstance(a, Send)]
         self.assertEqual(sent, ["b"])
 
--- a/tests/test_crossing_cold.py
+++ b/tests/test_crossing_cold.py
@@ -128,7 +128,7 @@
         self.assertLessEqual(sent, 1 + 2.0 * process.slow.per_server * 20000.0)
         for _ in range(3):  # nor does it take as long to come down again
             process.slow.report(process.server, 0.95)
-        self.assertEqual(process.server.boost, 1.0)
+        self.assertEqual(process.server.warmup_boost, 1.0)
 
     def test_it_is_not_left_idle_for_it(self) -> None:
         """Few processes, steadily wanted: most of its even share by the least promised comes."""
@@ -163,8 +163,10 @@
                 self.assertEqual(sends(stand.end(f"r{i}", Status.ERROR, "a")), [])
 
     def test_the_one_who_is_not_told_a_figure_takes_the_usual(self) -> None:
-        self.assertEqual((Settings((SAFE,)).fall_multiple, Settings((SAFE,)).fall_ms), (3.0, 3000.0))
-        self.assertEqual(configured(2, 0.1, 2.0, 2500.0).fall_ms, 2500.0)
+        self.assertEqual(
+            (Settings((SAFE,)).cold_overload_ratio, Settings((SAFE,)).cold_overload_ms), (3.0, 3000.0)
+        )
+        self.assertEqual(configured(2, 0.1, 2.0, 2500.0).cold_overload_ms, 2500.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -12,11 +12,11 @@
 from lupinlink import interface as api
 from lupinlink.interface import (
     NEVER_RAN,
+    DedupScope,
     Effect,
     Endpoint,
     MembershipKind,
     RequestClass,
-    Scope,
     Settings,
     Status,
 )
@@ -119,7 +119,7 @@
             elif isinstance(action, api.Refuse):
                 one = self.asked[action.request_id]
                 free = one.cls.effect == Effect.SAFE or (
-                    one.cls.effect == Effect.KEYED and one.cls.scope == Scope.ALL
+                    one.cls.effect == Effect.KEYED and one.cls.scope == DedupScope.ALL
                 )
                 self.case.assertTrue(free or all(s in NEVER_RAN for _, _, s in one.sent), "refused")
                 self.case.assertLessEqual(action.retry_after_ms, self.settings.max_retry_after_ms)
@@ -145,8 +145,8 @@
             self.case.assertEqual(one.cls.effect, Effect.KEYED, "a second effect")
             self.case.assertLess(now, sent_at + one.cls.dedup_ms)
             before = self.rows[name]
-            self.case.assertTrue(one.cls.scope == Scope.ALL or row.zone == before.zone)
-            self.case.assertTrue(one.cls.scope != Scope.CELL or row.cell == before.cell)
+            self.case.assertTrue(one.cls.scope == DedupScope.ALL or row.zone == before.zone)
+            self.case.assertTrue(one.cls.scope != DedupScope.CELL or row.cell == before.cell)
         one.sent.append((action.endpoint, now, None))
         took, status = one.cls.deadline_ms * 0.1 * self.rng.uniform(0.5, 2.0), Status.OK
         if action.endpoint == "a":
@@ -186,7 +186,7 @@
     def test_an_aim_beyond_the_deadline_is_the_deadline(self) -> None:
         for aim, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
             read = read_settings({"Classes": [{"AimMs": aim, "HardLimitMs": 2000.0}]})
-            self.assertEqual(read.classes[0].aim_ms, wanted)
+            self.assertEqual(read.classes[0].target_latency_ms, wanted)
 
 
 class Beyond(Stage):
--- a/tests/test_discovery_away.py
+++ b/tests/test_discovery_away.py
@@ -20,9 +20,9 @@
 RESET_OUTAGE = OutageOf(9000.0, 40000.0, Away.RESET, SLOW_MS)
 FAILED_CALL_MS = 2500.0  # a call that fails late, and the wait before it
 SHOWN_MS = 8400.0  # five calls that fail late, up to three at a time, the waits between, a request's time
-ENDED_LATE = DiscoveryCallFailed(reached=True, answered=False, took_ms=SLOW_MS, refused=True)
-UNANSWERED = replace(ENDED_LATE, silent=True, refused=False)
-HEAD_ALONE = DiscoveryCallFailed(reached=True, answered=True, took_ms=SLOW_MS)
+ENDED_LATE = DiscoveryCallFailed(connected=True, answered=False, took_ms=SLOW_MS, refused=True)
+UNANSWERED = replace(ENDED_LATE, timed_out=True, refused=False)
+HEAD_ALONE = DiscoveryCallFailed(connected=True, answered=True, took_ms=SLOW_MS)
 LONG_MS = 300_000.0
 HEAD_EVERY_MS = 500.0
 
@@ -163,7 +163,7 @@
 
 def test_calls_that_are_never_answered_are_no_outage_so_soon() -> None:
     schedule = Planned(peers=200).schedule
-    schedule.watch_ended(0.0, DiscoveryWatchEnded(heard_at=0.0, silent=False))
+    schedule.watch_ended(0.0, DiscoveryWatchEnded(last_activity_at=0.0, timed_out=False))
     held_at = schedule.times.hold_after_ms + 1.0
     for number in range(AWAY_UNSEEN_CALLS):
         assert schedule.holds(held_at + number)
@@ -181,7 +181,7 @@
     schedule.partial(2050.0, False)
     assert not schedule.holds(2050.0)
     schedule.partial(2060.0, True)
-    schedule.watch_ended(2100.0, DiscoveryWatchEnded(heard_at=2000.0, silent=False))
+    schedule.watch_ended(2100.0, DiscoveryWatchEnded(last_activity_at=2000.0, timed_out=False))
     assert schedule.holds(2200.0)
     assert schedule.call_due(schedule.call_at)
     schedule.confirmed(2400.0)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -9,7 +9,7 @@
 from itertools import groupby
 
 import lupinlink
-from lupinlink.errors import LupinError, kinds
+from lupinlink.errors import LupinError, error_types
 from tests.stage import ROOT
 
 PAGE = ROOT / "docs" / "operators" / "errors.md"
@@ -36,7 +36,7 @@
     for module in pkgutil.walk_packages(lupinlink.__path__, "lupinlink."):
         if not module.name.endswith("__main__"):
             import_module(module.name)
-    return [kind for kind in kinds() if kind.__module__.startswith("lupinlink.")]
+    return [kind for kind in error_types() if kind.__module__.startswith("lupinlink.")]
 
 
 def lines(found: list[type[LupinError]]) -> Iterator[str]:
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -8,54 +8,62 @@
 
 from lupinlink.brain.choice import TABLE_MS
 from lupinlink.interface import Arrival, Endpoint, EndpointState, Refuse, Settings, Status
-from lupinlink.limits.foresight import BEARS, COLD_KEYS, LAG_GAIN, LEAST, Foresight
+from lupinlink.limits.capacity_bound import (
+    COLD_KEY_OVERHEAD,
+    MAX_UTILIZATION,
+    MIN_SHARE,
+    SHARE_GAIN,
+    CapacityBound,
+)
 from tests.helpers import SAFE, Stand, sends
 
 FARM = "abcdefgh"
 
 
 def test_the_need_by_hand() -> None:
-    foresight = Foresight()
-    assert foresight.look(0.0) == 1.0  # nothing is known, so nothing is bounded
-    foresight.learn(None, 8.0, 1.0)
-    assert foresight.look(0.0) == 1.0
+    capacity_bound = CapacityBound()
+    assert capacity_bound.update(0.0) == 1.0  # nothing is known, so nothing is bounded
+    capacity_bound.observe_period(None, 8.0, 1.0)
+    assert capacity_bound.update(0.0) == 1.0
     # 8 servers at 0.6 with four fifths let in: over the share of the last second, all need 5.3 of them.
-    foresight.learn(0.6, 8.0, 0.8)
-    assert foresight.need == pytest.approx(0.6 * 8.0 / (1.0 - 0.2 * LAG_GAIN))
-    assert foresight.bears(4.0) == pytest.approx(BEARS * 4.0 / foresight.need)
+    capacity_bound.observe_period(0.6, 8.0, 0.8)
+    assert capacity_bound.needed_servers == pytest.approx(0.6 * 8.0 / (1.0 - 0.2 * SHARE_GAIN))
+    assert capacity_bound.admissible_share(4.0) == pytest.approx(
+        MAX_UTILIZATION * 4.0 / capacity_bound.needed_servers
+    )
 
 
 def test_reports_from_before_a_fall_are_not_taken_for_those_of_the_few_left() -> None:
-    foresight = Foresight()
-    foresight.learn(0.6, 8.0, 1.0)
-    assert foresight.look(4.0) == pytest.approx(BEARS * 4.0 / 4.8)
-    foresight.learn(0.6, 4.0, 0.7)  # counted for four they would say that 2.8 do
-    assert foresight.need == pytest.approx(4.8)
-    foresight.learn(0.8, 4.0, 0.7)
-    assert foresight.need < 4.8
+    capacity_bound = CapacityBound()
+    capacity_bound.observe_period(0.6, 8.0, 1.0)
+    assert capacity_bound.update(4.0) == pytest.approx(MAX_UTILIZATION * 4.0 / 4.8)
+    capacity_bound.observe_period(0.6, 4.0, 0.7)  # counted for four they would say that 2.8 do
+    assert capacity_bound.needed_servers == pytest.approx(4.8)
+    capacity_bound.observe_period(0.8, 4.0, 0.7)
+    assert capacity_bound.needed_servers < 4.8
 
 
 def test_keys_that_lost_their_server_need_more_and_one_that_comes_and_goes_does_not_count() -> None:
-    foresight = Foresight(warm_keys=True)
-    foresight.learn(0.6, 8.0, 1.0)
-    assert foresight.look(7.0) == 1.0 and foresight.need == pytest.approx(4.8)
-    foresight.look(4.0)
-    assert foresight.need == pytest.approx(4.8 * (1.0 + COLD_KEYS * 0.5))
-    before = foresight.need
-    foresight.look(4.0)  # told once, it counts once
-    assert foresight.need == before
+    capacity_bound = CapacityBound(warm_keys=True)
+    capacity_bound.observe_period(0.6, 8.0, 1.0)
+    assert capacity_bound.update(7.0) == 1.0 and capacity_bound.needed_servers == pytest.approx(4.8)
+    capacity_bound.update(4.0)
+    assert capacity_bound.needed_servers == pytest.approx(4.8 * (1.0 + COLD_KEY_OVERHEAD * 0.5))
+    before = capacity_bound.needed_servers
+    capacity_bound.update(4.0)  # told once, it counts once
+    assert capacity_bound.needed_servers == before
 
 
 @given(st.lists(st.tuples(st.floats(0, 16), st.floats(0, 1000), st.floats(0, 1))), st.floats(0, 1000))
 def test_whatever_is_reported_the_share_stays_within_its_bounds(
     periods: list[tuple[float, float, float]], left: float
 ) -> None:
-    foresight = Foresight()
-    for busy, servers, let_in in periods:
-        foresight.learn(busy, servers, let_in)
-        assert LEAST <= foresight.look(servers / 2.0) <= 1.0
-    assert LEAST <= foresight.bears(left) <= 1.0
-    assert foresight.bears(left) <= foresight.bears(left + 1.0)
+    capacity_bound = CapacityBound()
+    for busy, servers, admitted_share in periods:
+        capacity_bound.observe_period(busy, servers, admitted_share)
+        assert MIN_SHARE <= capacity_bound.update(servers / 2.0) <= 1.0
+    assert MIN_SHARE <= capacity_bound.admissible_share(left) <= 1.0
+    assert capacity_bound.admissible_share(left) <= capacity_bound.admissible_share(left + 1.0)
 
 
 def at_work(use: float | None) -> Stand:
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -256,13 +256,13 @@
                     s
                     for s in self.servers.values()
                     if (
-                        s.row.state == api.EndpointState.DRAINING
+                        s.endpoint.state == api.EndpointState.DRAINING
                         if draining
-                        else s.row.started_ms > now - 3e3
+                        else s.endpoint.started_ms > now - 3e3
                     )
                 ]
                 if others:
-                    send.endpoint = others[0].row.name
+                    send.endpoint = others[0].endpoint.name
             if self.sin == "lose" and Sinner.count % 1000 == 500:
                 return [a for a in actions if isinstance(a, api.SetTimer)]
         return actions
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -24,7 +24,7 @@
 from lupinlink.net.proxy import AttemptEnd, Call, Failure, Proxy, Reply
 from lupinlink.net.slots import Slots
 from lupinlink.net.wheel import SPOKES, TICK_MS, Clockwork, Wheel
-from lupinlink.settings import Effect, RequestClass, Scope, Settings
+from lupinlink.settings import DedupScope, Effect, RequestClass, Settings
 
 STREAM = (
     b"\r\nPOST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
@@ -177,7 +177,7 @@
 class OneAnswer(unittest.TestCase):
     def setUp(self) -> None:
         reactor: Any = Clock()
-        keyed = RequestClass(300.0, 1000.0, 1.0, 0.0, Effect.KEYED, Scope.ZONE, 500.0)
+        keyed = RequestClass(300.0, 1000.0, 1.0, 0.0, Effect.KEYED, DedupScope.ZONE, 500.0)
         self.servers, self.side, self.counters = Servers(), Side(), Counters()
         told = Settings(classes=(keyed,), max_attempts=3, may_cancel=True)
         clock = Clockwork(reactor)
@@ -205,14 +205,14 @@
         self.assertEqual(self.side.answers, ["served", "refused"])  # at once, and sent nowhere
 
     def test_an_internal_error_still_gives_a_whole_answer(self) -> None:
-        self.proxy._module.arrived = lambda request, now: 1 / 0  # type: ignore[method-assign,assignment]
+        self.proxy._module.request_arrived = lambda request, now: 1 / 0  # type: ignore[method-assign,assignment]
         with self.assertLogs("lupinlink.net.proxy"):
             self.take()
         self.assertEqual((self.side.answers, self.proxy.open), (["INTERNAL"], 0))
 
     def test_a_module_that_breaks_on_an_outcome_does_not_lose_the_request(self) -> None:
         self.take()
-        self.proxy._module.ended = lambda *args: 1 / 0  # type: ignore[method-assign,assignment]
+        self.proxy._module.attempt_ended = lambda *args: 1 / 0  # type: ignore[method-assign,assignment]
         with self.assertLogs("lupinlink.net.proxy"):
             self.servers.passes[0].ended.callback(AttemptEnd(Status.RESET))
         self.assertEqual(self.side.answers, ["INTERNAL"])
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -29,7 +29,7 @@
     for i in range(100):
         (answer,) = stand.ask(f"h{i}", left=25.0)
         assert isinstance(answer, Refuse) and answer.retry_after_ms > 0.0
-    assert stand.node.period.arrivals == before and not stand.node.open
+    assert stand.node.period.arrivals == before and not stand.node.open_requests
     assert sends(stand.ask("earnest", left=ANSWER_MARGIN_MS + USUAL_MS))
 
 
@@ -54,6 +54,6 @@
     stand = served()
     overdue(stand, left)
     servers = stand.node.servers.values()
-    assert any(s.failing > 0.0 or s.ejected_until > stand.now for s in servers) == blamed
+    assert any(s.failure_rate > 0.0 or s.ejected_until > stand.now for s in servers) == blamed
     stand.until(stand.now + 500.0)
     assert bool(finals(stand.ask("next"))) <= blamed
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lupinlink.limits.progress import GRACE_MS, RATE, STILL_MS, Progress
+from lupinlink.limits.body_progress import GRACE_MS, MIN_BYTES_PER_MS, STALL_TIMEOUT_MS, BodyProgress
 from lupinlink.net import http1
 from lupinlink.net.bodies import SMALL_BYTES, WHOLE_BYTES, Body, Budget
 
@@ -71,15 +71,19 @@
         self.assertEqual(budget.held, 0)
 
     def test_progress_is_a_rate_and_waiting_for_us_is_no_delay(self) -> None:
-        body = Progress(0.0)
-        self.assertFalse(body.overdue(GRACE_MS))
-        self.assertTrue(body.overdue(GRACE_MS + 1.0))  # nothing came
-        body.came(int(RATE * 3000.0), 10.0)
-        self.assertEqual([body.overdue(10.0 + STILL_MS), body.overdue(11.0 + STILL_MS)], [False, True])
-        body.hold(20.0)
-        self.assertFalse(body.overdue(1e9))
-        body.go_on(90_000.0)
-        self.assertEqual([body.overdue(90_000.0 + t) for t in (STILL_MS, STILL_MS + 1.0)], [False, True])
+        body = BodyProgress(0.0)
+        self.assertFalse(body.timed_out(GRACE_MS))
+        self.assertTrue(body.timed_out(GRACE_MS + 1.0))  # nothing came
+        body.received(int(MIN_BYTES_PER_MS * 3000.0), 10.0)
+        self.assertEqual(
+            [body.timed_out(10.0 + STALL_TIMEOUT_MS), body.timed_out(11.0 + STALL_TIMEOUT_MS)], [False, True]
+        )
+        body.pause(20.0)
+        self.assertFalse(body.timed_out(1e9))
+        body.resume(90_000.0)
+        self.assertEqual(
+            [body.timed_out(90_000.0 + t) for t in (STALL_TIMEOUT_MS, STALL_TIMEOUT_MS + 1.0)], [False, True]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_recent_use.py
+++ b/tests/test_recent_use.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from lupinlink.interface import Endpoint, Settings, Status
-from lupinlink.spread.recent_use import MOST_REMEMBERED, RecentUse
+from lupinlink.spread.recent_use import MAX_REMEMBERED, RecentUse
 from tests.helpers import SAFE, Stand, sends
 
 USUAL, MANY = 200, 3200
@@ -20,12 +20,12 @@
         recent.used(item, 100.0 * item)
     recent.used(1, 900.0)  # prolongs nothing
     drawn = Counter(recent.draw(rng.random(), 1250.0) for _ in range(7000))
-    assert set(drawn) == {3, 4, 5, 6, 7, 8, 9} and recent.number(1250.0) == 7
+    assert set(drawn) == {3, 4, 5, 6, 7, 8, 9} and recent.count(1250.0) == 7
     assert max(drawn.values()) < 1.3 * min(drawn.values())
     assert recent.draw(0.5, 5000.0) is None
-    for item in range(2 * MOST_REMEMBERED):
+    for item in range(2 * MAX_REMEMBERED):
         recent.used(item, 6000.0)
-    assert recent.number(6000.0) == MOST_REMEMBERED
+    assert recent.count(6000.0) == MAX_REMEMBERED
 
 
 def connections(servers: int, per_second: float, seconds: float) -> int:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -10,7 +10,7 @@
 from itertools import count
 from typing import Any, ClassVar
 
-from lupinlink.limits.returns import ADDRESSES, SPARED_EACH, Ended, Rest, Returns, price
+from lupinlink.limits.idle_reuse import ADDRESSES, SPARED_EACH, IdleEnd, IdlePeriod, IdleReuse, keep_threshold
 from tests.stage import WAIT, ApplicationServer, Stage, row
 
 CROWDED = 0.6  # share of places in use
@@ -18,64 +18,64 @@
 
 class Odds(unittest.TestCase):
     def setUp(self) -> None:
-        self.returns, self.now = Returns(200), 0.0
-        self.resting: list[Rest] = []
+        self.returns, self.now = IdleReuse(200), 0.0
+        self.resting: list[IdlePeriod] = []
 
-    def rest(self, address: str, age_ms: float, how: Ended) -> None:
+    def rest(self, address: str, age_ms: float, how: IdleEnd) -> None:
         """A connection rests so long and ends so, with the odds drawn up at its end."""
-        rest = self.returns.began(address, self.now)
+        rest = self.returns.idle_began(address, self.now)
         self.now += age_ms
         self.returns.refresh([*self.resting, rest], self.now)
-        self.returns.ended(rest, self.now, how)
+        self.returns.idle_ended(rest, self.now, how)
 
     def test_with_room_everybody_is_kept_and_without_it_nobody(self) -> None:
-        self.assertEqual((price(0.2), price(1.0)), (0.0, 1.0))
+        self.assertEqual((keep_threshold(0.2), keep_threshold(1.0)), (0.0, 1.0))
         self.assertTrue(self.returns.worth_keeping("a", 0.2))
         self.assertFalse(self.returns.worth_keeping("a", 1.0))
 
     def test_who_comes_back_is_kept_where_who_does_not_is_not(self) -> None:
         for i in range(200):
-            self.rest("regular", 30.0, Ended.ASKED)
+            self.rest("regular", 30.0, IdleEnd.REUSED)
             if i % 5 == 0:
-                self.rest("once", 450.0, Ended.LEFT)
+                self.rest("once", 450.0, IdleEnd.CLOSED_BY_CLIENT)
         self.returns.refresh([], self.now + 200.0)
-        self.assertGreater(self.returns.odds("regular"), 0.9)
-        self.assertLess(self.returns.odds("once"), 0.5)
+        self.assertGreater(self.returns.reuse_probability("regular"), 0.9)
+        self.assertLess(self.returns.reuse_probability("once"), 0.5)
         self.assertTrue(self.returns.worth_keeping("regular", CROWDED))
         self.assertFalse(self.returns.worth_keeping("once", CROWDED))
 
     def test_a_crowd_that_rests_shows_long_before_it_leaves(self) -> None:
-        self.resting = [self.returns.began("once", 0.0) for _ in range(60)]
+        self.resting = [self.returns.idle_began("once", 0.0) for _ in range(60)]
         self.returns.refresh(self.resting, 450.0)
-        self.assertLess(self.returns.odds("once"), 0.4)
-        self.assertTrue(any(self.returns.outstayed(rest, CROWDED, 450.0) for rest in self.resting))
+        self.assertLess(self.returns.reuse_probability("once"), 0.4)
+        self.assertTrue(any(self.returns.should_close(rest, CROWDED, 450.0) for rest in self.resting))
 
     def test_odds_are_mended_when_a_crowd_mends_its_ways(self) -> None:
         # Given up at once it could never show that it comes back; a few are left alone for that.
         for _ in range(40):
-            self.rest("a", 1600.0, Ended.LEFT)
+            self.rest("a", 1600.0, IdleEnd.CLOSED_BY_CLIENT)
         kept = 0
         for _ in range(60 * SPARED_EACH):
             if self.returns.worth_keeping("a", CROWDED):
                 kept += 1
-                self.rest("a", 30.0, Ended.ASKED)
+                self.rest("a", 30.0, IdleEnd.REUSED)
         self.assertGreater(kept, 60)
         self.assertTrue(self.returns.worth_keeping("a", CROWDED))
 
     def test_few_are_left_alone_at_once(self) -> None:
-        spared = sum(self.returns.began("a", 0.0).spared for _ in range(400))
+        spared = sum(self.returns.idle_began("a", 0.0).spared for _ in range(400))
         self.assertEqual(spared, 4)  # of 200 places
 
     def test_rests_cut_short_do_not_count_as_left(self) -> None:
         for _ in range(30):
-            self.rest("a", 20.0, Ended.CUT)
-            self.rest("a", 20.0, Ended.ASKED)
+            self.rest("a", 20.0, IdleEnd.CLOSED_BY_PROXY)
+            self.rest("a", 20.0, IdleEnd.REUSED)
         self.returns.refresh([], self.now + 200.0)
-        self.assertGreater(self.returns.odds("a"), 0.8)
+        self.assertGreater(self.returns.reuse_probability("a"), 0.8)
 
     def test_more_addresses_than_are_remembered(self) -> None:
         for i in range(3 * ADDRESSES):
-            self.rest(f"address {i}", 1.0, Ended.LEFT)
+            self.rest(f"address {i}", 1.0, IdleEnd.CLOSED_BY_CLIENT)
         self.assertEqual(len(self.returns), ADDRESSES)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -138,7 +138,7 @@
     assert actions == [api.Cancel("r", 0)]
     assert s.end("r", Status.CANCELLED, first.endpoint) == []
     assert s.end("r", Status.ERROR, first.endpoint) == []  # told twice
-    assert not s.node.open
+    assert not s.node.open_requests
 
 
 def test_failed_calls_to_discovery_are_made_again() -> None:
@@ -184,7 +184,7 @@
         for attempt, send in enumerate(todo):
             dead = send.endpoint in "abcde"
             todo += sends(s.end(str(i), Status.UNREACHABLE if dead else Status.OK, send.endpoint, attempt))
-    assert sorted(v.row.name for v in s.node.health.ejected) == list("abcde")
+    assert sorted(v.endpoint.name for v in s.node.health.ejected) == list("abcde")
     assert s.node.retry_tokens >= before
 
 
@@ -194,7 +194,7 @@
         s.until(i * 10.0)
         (slow,) = sends(s.ask(f"s{i}"))
         (quick,) = sends(s.ask(f"q{i}"))
-        s.node.servers[slow.endpoint].heard_at = s.now  # another of its answers came meanwhile
+        s.node.servers[slow.endpoint].last_response_at = s.now  # another of its answers came meanwhile
         s.end(f"s{i}", Status.TIMEOUT, slow.endpoint)
         s.end(f"q{i}", Status.OK, quick.endpoint)
     assert not s.node.health.ejected
@@ -217,8 +217,8 @@
     SAFE,
     UNSAFE,
     KEYED,
-    RequestClass(300.0, 1000.0, 1.0, 0.5, Effect.KEYED, api.Scope.ALL, 500.0),
-    RequestClass(300.0, 1000.0, 1.0, 0.5, Effect.KEYED, api.Scope.ZONE, 500.0),
+    RequestClass(300.0, 1000.0, 1.0, 0.5, Effect.KEYED, api.DedupScope.ALL, 500.0),
+    RequestClass(300.0, 1000.0, 1.0, 0.5, Effect.KEYED, api.DedupScope.ZONE, 500.0),
 )
 STEP = st.tuples(st.sampled_from(["ask", "end", "time", "list", "gone", "odd"]), st.integers(0, 10**6))
 
@@ -245,16 +245,16 @@
                     if c.effect == Effect.SAFE or status in api.NEVER_RAN:
                         continue
                     assert c.effect == Effect.KEYED and s.now < sent + c.dedup_ms
-                    if c.scope != api.Scope.ALL:
+                    if c.scope != api.DedupScope.ALL:
                         assert zones[server][0] == zones[a.endpoint][0]
-                    if c.scope == api.Scope.CELL:
+                    if c.scope == api.DedupScope.CELL:
                         assert zones[server][1] == zones[a.endpoint][1]
                 past.append((a.endpoint, s.now, None))
             elif isinstance(a, api.Refuse | api.Fail):
                 assert a.request_id not in answered and s.now <= deadline[a.request_id]
                 answered[a.request_id] = 1
                 c = CLASSES[cls[a.request_id]]
-                free = c.effect == Effect.SAFE or (c.effect == Effect.KEYED and c.scope == api.Scope.ALL)
+                free = c.effect == Effect.SAFE or (c.effect == Effect.KEYED and c.scope == api.DedupScope.ALL)
                 if isinstance(a, api.Refuse) and not free:
                     assert all(status in api.NEVER_RAN for _, _, status in out[a.request_id])
 
@@ -325,6 +325,6 @@
             s.now += 5.0
             s.end(str(i), Status.OK, x.endpoint)
     (lost,) = sends(s.ask("lost"))
-    s.node.servers[lost.endpoint].heard_at = s.now + 1.0
+    s.node.servers[lost.endpoint].last_response_at = s.now + 1.0
     s.until(s.now + 600.0)
     assert api.Cancel("lost", 0) in s.log and not s.node.health.ejected
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -23,9 +23,9 @@
     rng, odd, asked, due = Random(seed), seed % 2 == 1, 0.0, list[tuple[float, float, api.Event]]()
     told = Settings(
         (SAFE, UNSAFE, KEYED), (Tenant(5.0), Tenant(60.0)), peers=4, rank=seed % 4, max_attempts=3,
-        over_quota_worth=0.2, cross_zone_price=0.05, max_retry_after_ms=900.0, subscribe=True, may_probe=True,
+        over_quota_value=0.2, cross_zone_price=0.05, max_retry_after_ms=900.0, subscribe=True, may_probe=True,
         reports_in_probes=True, reports_in_answers=not odd, may_cancel=seed % 3 > 0, warm_keys=odd,
-        clients_mark_retries=odd, worth_by_work=odd, cold_ms=5000.0,
+        clients_mark_retries=odd, value_by_work=odd, cold_ms=5000.0,
     )  # fmt: skip
     stand = Stand(told, "", seed)
     given = list(stand.log)
@@ -45,7 +45,7 @@
             kind = MembershipKind((3, 2, 0)[rng.randrange(3)])
             later(asked, api.Membership(kind, [row(n) for n in range(0, 20, 5 if kind == 3 else 1) if kind]))
             later(asked + 200.0, api.ClientGone(f"r{i}"))
-    while due and (asked > stand.now or stand.node.open):
+    while due and (asked > stand.now or stand.node.open_requests):
         for action in decided(given):
             took = rng.expovariate(1.0 / (30.0 + 10.0 * stand.node.in_flight))
             load = {"utilization": stand.node.in_flight / 40.0, "queued": took / 9.0 - 1.1}
@@ -58,7 +58,7 @@
                 name, server = action.request_id, action.endpoint
                 status = Status.UNREACHABLE if server == "s7" else status
                 took, status = min((took, status), (action.timeout_ms, Status.TIMEOUT))
-                number = len(stand.node.open[name].attempts) - 1
+                number = len(stand.node.open_requests[name].attempts) - 1
                 later(took, api.Outcome(name, status, took, number, status == Status.OK, server, load))
         stand.now, _, event = heappop(due)
         given = stand.give(event)
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -23,7 +23,7 @@
             row = Endpoint("a", started_ms=1.0)
             stand = Stand(settings, seed=seed)
             server = Server(row, 1.0, Group(1.0))
-            stand.node.listed(server)  # draws its first token
+            stand.node.server_listed(server)  # draws its first token
             for now in range(1, int(span), 20):
                 if slow.allows(server, float(now)):
                     server.tokens -= 1.0
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -12,7 +12,7 @@
 from lupinlink.brain.health import SlowStart
 from lupinlink.interface import Endpoint, EndpointState, Group, MembershipKind, Server, Settings
 from lupinlink.node import Node
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE
 from tests.helpers import SAFE, Stand
 
 
@@ -25,7 +25,7 @@
 def draw(split: Split, node: Node, now: float, count: int = 4000) -> Counter[str]:
     split.due_at = -math.inf
     picked = (split.pick(now, node, "", lambda s: True) for _ in range(count))
-    return Counter(s.row.name for s in picked if s is not None)
+    return Counter(s.endpoint.name for s in picked if s is not None)
 
 
 def test_even_without_news() -> None:
@@ -45,7 +45,7 @@
 
 def test_own_requests_in_flight_count_at_once() -> None:
     split, node = make()
-    node.servers["a"].out = node.in_flight = 8
+    node.servers["a"].in_flight = node.in_flight = 8
     assert draw(split, node, 0.0)["a"] < 450
 
 
@@ -112,12 +112,12 @@
     stands = [Stand(settings, "abcdefgh", seed) for seed in (1, 2)]
     nodes = [stand.node for stand in stands]
     met = [[n.split.pick(0.0, n, f"k{i}", lambda s: True) for i in range(800)] for n in nodes]
-    names = [[s.row.name if s else "" for s in each] for each in met]
+    names = [[s.endpoint.name if s else "" for s in each] for each in met]
     assert names[0] == names[1]
     assert all(60 <= count <= 140 for count in Counter(names[0]).values())
     stands[0].members([Endpoint("a", state=EndpointState.GONE)], MembershipKind.DELTA)  # others keep theirs
     after = [
-        s.row.name if (s := nodes[0].split.pick(0.0, nodes[0], f"k{i}", lambda s: True)) else ""
+        s.endpoint.name if (s := nodes[0].split.pick(0.0, nodes[0], f"k{i}", lambda s: True)) else ""
         for i in range(800)
     ]
     assert all(x == y for x, y in zip(names[0], after, strict=True) if x != "a") and "a" not in after
@@ -165,13 +165,13 @@
     node = Stand(settings, names="".join(map(chr, range(0x4E00, 0x4E00 + 200)))).node
     split = node.split
     assert split.pick(2.0, node, "", lambda s: True) in split.table and len(split.table) == 32
-    near = {s.row.name for s in split.table}
+    near = {s.endpoint.name for s in split.table}
     for server in node.servers.values():
-        server.row.started_ms = 1.0
-    assert split.pick(2.0, node, "", lambda s: s.row.name not in near) is None
+        server.endpoint.started_ms = 1.0
+    assert split.pick(2.0, node, "", lambda s: s.endpoint.name not in near) is None
     assert list(split.not_drawn(2.0))[1] == []
-    far = next(s for s in node.servers.values() if s.row.name not in near)
-    far.row.started_ms = 0.0
+    far = next(s for s in node.servers.values() if s.endpoint.name not in near)
+    far.endpoint.started_ms = 0.0
     assert list(split.not_drawn(2.0))[1] == [far]
 
 
@@ -182,8 +182,8 @@
     split = stand.node.split
     split.refresh(0.0)
     for server in stand.node.servers.values():
-        server.failing = 0.5
-    for turn in range(1, 4096 // MOST_IN_BUCKET + 1):
+        server.failure_rate = 0.5
+    for turn in range(1, 4096 // MAX_MEAN_BUCKET_SIZE + 1):
         split.refresh(turn * TABLE_MS)
         for _ in range(3):
             assert sum(map(len, split.not_drawn(turn * TABLE_MS))) > 0
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -12,8 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lupinlink.spread.aperture import COVER, Aperture
-from lupinlink.spread.keys import BOUND, REMEMBERED, Homes
+from lupinlink.spread.aperture import MIN_PROXIES_PER_SERVER, Aperture
+from lupinlink.spread.key_affinity import BOUND, REMEMBERED, KeyPopularity
 from tests.stage import ROOT
 
 PROXIES, SERVERS, KEYS = 60, 200, 500  # of 200 proxies: enough to show it
@@ -29,20 +29,20 @@
 def test_any_arrivals_keep_the_bounds(
     keys: list[int], servers: int, chance: float, weights: list[float]
 ) -> None:
-    homes = Homes(PROXIES)
+    homes = KeyPopularity(PROXIES)
     for key in keys:
-        found = homes.order(str(key), SALTS[:servers], weights[:servers], MOST, chance)
+        found = homes.preferred_servers(str(key), SALTS[:servers], weights[:servers], MOST, chance)
         assert len(set(found)) == len(found) >= min(MOST, servers)
         assert all(0 <= i < servers for i in found)
-        assert 1 <= homes.number(crc32(str(key).encode()), servers) <= servers
-        assert found[0] in homes.order(str(key), SALTS[:servers], weights[:servers], MOST, 0.0)
+        assert 1 <= homes.server_count(crc32(str(key).encode()), servers) <= servers
+        assert found[0] in homes.preferred_servers(str(key), SALTS[:servers], weights[:servers], MOST, 0.0)
 
 
 @given(st.integers(0, 2**32))
 def test_memory_is_bounded_whatever_comes(seed: int) -> None:
-    homes, random = Homes(PROXIES), Random(seed)
+    homes, random = KeyPopularity(PROXIES), Random(seed)
     for _ in range(4 * int(REMEMBERED)):
-        homes.met(random.getrandbits(32))
+        homes.record(random.getrandbits(32))
     assert len(homes) <= 2 * REMEMBERED
 
 
@@ -52,9 +52,9 @@
     ranks = [1.0 / (i + 1) ** skew for i in range(KEYS)]
     load, met = [0] * SERVERS, []
     for _ in range(PROXIES):
-        homes, seen = Homes(PROXIES), dict[str, set[int]]()
+        homes, seen = KeyPopularity(PROXIES), dict[str, set[int]]()
         for n, key in enumerate(random.choices(range(KEYS), ranks, k=arrivals)):
-            first = homes.order(str(key), SALTS[:SERVERS], EVEN, MOST, random.random())[0]
+            first = homes.preferred_servers(str(key), SALTS[:SERVERS], EVEN, MOST, random.random())[0]
             if n >= arrivals // 2:
                 load[first] += 1
                 seen.setdefault(str(key), set()).add(first)
@@ -83,30 +83,33 @@
 def test_stretches_cover_every_server_alike(peers: int, servers: int) -> None:
     asked = Counter[int]()
     for rank in range(peers):
-        near = Aperture(rank, peers).near(SALTS[:servers], [True] * servers)
+        near = Aperture(rank, peers).subset(SALTS[:servers], [True] * servers)
         assert len(near) == len(set(near)) == Aperture(rank, peers).size(servers)
         asked.update(near)
     size = Aperture(0, peers).size(servers)
     assert max(asked.values()) - min(asked[i] for i in range(servers)) <= 2
-    assert min(asked[i] for i in range(servers)) >= min(peers, COVER) - 1 or size == servers
+    assert min(asked[i] for i in range(servers)) >= min(peers, MIN_PROXIES_PER_SERVER) - 1 or size == servers
 
 
 @given(st.integers(0, 59), st.integers(0, 199), st.integers(0, 199))
 def test_a_stretch_moves_little_and_goes_on_past_who_is_out(rank: int, gone: int, out: int) -> None:
     mine = Aperture(rank, 60)
     names = list(range(200))
-    before = {names[i] for i in mine.near(SALTS[:200], [True] * 200)}
+    before = {names[i] for i in mine.subset(SALTS[:200], [True] * 200)}
     left = [i for i in names if i != gone]
-    after = {left[i] for i in mine.near([SALTS[i] for i in left], [True] * 199)}
+    after = {left[i] for i in mine.subset([SALTS[i] for i in left], [True] * 199)}
     assert len(before - after) <= 2
-    without = {names[i] for i in mine.near(SALTS[:200], [i != out for i in names])}
+    without = {names[i] for i in mine.subset(SALTS[:200], [i != out for i in names])}
     assert out not in without and len(without) == len(before) and len(before - without) <= 1
 
 
 def test_a_lost_server_moves_its_own_keys_only() -> None:
-    first = {key: Homes(PROXIES).order(str(key), SALTS[:SERVERS], EVEN, MOST, 0.0)[0] for key in range(2000)}
+    first = {
+        key: KeyPopularity(PROXIES).preferred_servers(str(key), SALTS[:SERVERS], EVEN, MOST, 0.0)[0]
+        for key in range(2000)
+    }
     after = {
-        key: Homes(PROXIES).order(str(key), SALTS[: SERVERS - 1], EVEN[:-1], MOST, 0.0)[0]
+        key: KeyPopularity(PROXIES).preferred_servers(str(key), SALTS[: SERVERS - 1], EVEN[:-1], MOST, 0.0)[0]
         for key in range(2000)
     }
     moved = [key for key in first if first[key] != after[key]]
