--- a/lupinlink/brain/admission.py
+++ b/lupinlink/brain/admission.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from lupinlink.interface import Arrival, LatencyStats, Settings
-from lupinlink.limits.foresight import Foresight
+from lupinlink.limits.capacity_bound import CapacityBound
 
 # Reference delay D_ref: the base, plus this much times the value that late answers keep.
 BASE_TARGET_DELAY, LATE_VALUE_TARGET_DELAY = 0.45, 0.4
--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -19,7 +19,7 @@
         if not self.in_time(request, now):  # not counted as an arrival: such requests say nothing about load
             return self.finish(request, RefusalCause.NO_TIME)
         self.period.arrivals += 1
-        self.period.returned += request.arrival.is_retry
+        self.period.retries += request.arrival.is_retry
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         self.maybe_probe()
         if now >= self.selector.weights_due_at:
--- a/lupinlink/brain/concurrency.py
+++ b/lupinlink/brain/concurrency.py
@@ -40,12 +40,12 @@
         held, queued = report.get("in_flight", math.nan), report.get("queued", math.nan)
         if not 0.0 <= queued <= held < math.inf:
             return
-        server.held, server.held_at, server.sent_since = held, now, 0
+        server.reported_requests, server.reported_at, server.sent_since_report = held, now, 0
         if 0.0 < queued < held:
             group = server.group
-            group.queueing += 1
-            group.cores += max(CORES_GAIN, 1.0 / group.queueing) * (held - queued - group.cores)
-            self.known = self.known or group.queueing >= MIN_REPORTS
+            group.queueing_reports += 1
+            group.cores += max(CORES_GAIN, 1.0 / group.queueing_reports) * (held - queued - group.cores)
+            self.known = self.known or group.queueing_reports >= MIN_REPORTS
 
     def record_answer(self, report: dict[str, float] | None, delay: float) -> None:
         """Record an answer's delay in target latencies; one that left a queue behind has itself queued."""
--- a/lupinlink/brain/discovery_node.py
+++ b/lupinlink/brain/discovery_node.py
@@ -58,8 +58,8 @@
     def simulator_failure(self, now: float) -> DiscoveryEvent:
         """The simulator has one event for a dropped subscription and a failed call: tell which it is."""
         if self.discovery.watching:
-            return DiscoveryWatchEnded(heard_at=now, silent=False, may_have_news=False)
-        return DiscoveryCallFailed(reached=False, answered=False, took_ms=0.0)
+            return DiscoveryWatchEnded(last_activity_at=now, timed_out=False, may_have_update=False)
+        return DiscoveryCallFailed(connected=False, answered=False, took_ms=0.0)
 
     def discovery_news(self, event: DiscoveryEvent, now: float) -> None:
         """Pass an event to the schedule, which may plan the next call."""
@@ -81,8 +81,8 @@
                 self.discovery.partial(now, event.partial)
             case DiscoveryCallFailed():
                 self.discovery.call_failed(now, event)
-            case DiscoveryWatchEnded(former=True):
-                self.discovery.former_watch_ended(event.heard_at)
+            case DiscoveryWatchEnded(at_previous_address=True):
+                self.discovery.former_watch_ended(event.last_activity_at)
             case DiscoveryWatchEnded():
                 self.discovery.watch_ended(now, event)
                 if self.settings.subscribe and event.may_have_news:
@@ -110,7 +110,7 @@
         """Set a timer for the schedule's next call, unless an earlier one is set, which will plan again."""
         if self.discovery.call_at < self.wakes_at:
             self.wakes_at = self.discovery.call_at
-            self.after(max(0.0, self.wakes_at - now), self.call_discovery)
+            self.call_later(max(0.0, self.wakes_at - now), self.call_discovery)
 
     def call_discovery(self, now: float) -> None:
         """Make the call that is due; a timer that was replaced by an earlier one does nothing."""
--- a/lupinlink/brain/discovery_schedule.py
+++ b/lupinlink/brain/discovery_schedule.py
@@ -114,7 +114,7 @@
         After a silence much of the time within which changes must be known has passed, so the call follows at
         once. Otherwise it is delayed at random, as watches that end together must not call together.
         """
-        self._reset(watch_was_ended=not event.silent)
+        self._reset(watch_was_ended=not event.timed_out)
         self.watching = False
         self._hold_from = event.heard_at + self.times.hold_after_ms
         self._next_at = now if event.silent else now + self._next_backoff()
@@ -135,8 +135,8 @@
     def call_reached(self, now: float, event: DiscoveryCallReached) -> None:
         """A call's connection came up and its request was written."""
         self._outage.connected()
-        if not (self.watching or event.beside_watch):
-            self._pending.asked(event.call, now)
+        if not (self.watching or event.previous_watch_open):
+            self._pending.asked(event.call_number, now)
 
     def call_answered(self, now: float) -> None:
         """A valid response head came. Without changes an empty line follows it, though not at once."""
@@ -242,7 +242,7 @@
     """How this call failed."""
     if not event.reached:
         return CallFailure.REFUSED
-    if event.silent:
+    if event.timed_out:
         return CallFailure.UNANSWERED
     if event.refused:
         return CallFailure.TURNED_AWAY if event.took_ms < QUICK_FAILURE_MS else CallFailure.ENDED_LATE
--- a/lupinlink/brain/load_monitoring.py
+++ b/lupinlink/brain/load_monitoring.py
@@ -17,7 +17,7 @@
     REPORT_GAIN,
     ServerSelector,
 )
-from lupinlink.interface import Attempt, LatencyStats, Period, Request, Server, Status
+from lupinlink.interface import AdmissionPeriod, Attempt, LatencyStats, Request, Server, Status
 from lupinlink.node import Node
 
 # Control period T: shorter than the paper's 3 s, by which bursts have ended; jitter keeps nodes out of step.
@@ -44,7 +44,9 @@
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         super().__init__(settings, rng)
         self.latency = [
-            LatencyStats(c.aim_ms * INITIAL_SERVICE_TIME, c.aim_ms * INITIAL_SERVICE_TIME)
+            LatencyStats(
+                c.target_latency_ms * INITIAL_SERVICE_TIME, c.target_latency_ms * INITIAL_SERVICE_TIME
+            )
             for c in settings.classes
         ]
         late_value = sum(c.late_worth for c in settings.classes) / len(settings.classes)
@@ -57,7 +59,7 @@
         self.limits = ConcurrencyLimits(settings.peers)
         self.selector = ServerSelector(settings, self.slow_start, rng, self.limits)
         self.ready_capacity = ReadyCapacity(self.slow_start)
-        self.period, self.probe_tokens = Period(0.0), 0.0
+        self.period, self.probe_tokens = AdmissionPeriod(0.0), 0.0
         self.probes = settings.may_probe and settings.reports_in_probes and not settings.reports_in_answers
         self.period_ms = min(
             max(PERIOD_MS, target_ms := min(c.aim_ms for c in settings.classes)),
@@ -72,7 +74,7 @@
     def readmit(self, now: float) -> None:
         """Use servers again whose ejection has ended."""
         for server in self.outlier_detector.returned(now):
-            self.usable_changed(server, now)
+            self.server_usable_changed(server, now)
 
     def usable_changed(self, server: Server, now: float) -> None:
         """A server has become usable, or is so no longer."""
@@ -85,8 +87,8 @@
         server.tokens = self.rng.random()
         self.selector.subset.listed(server)
 
-    def left(self, server: Server, now: float) -> None:
-        self.usable_changed(server, now)
+    def server_left(self, server: Server, now: float) -> None:
+        self.server_usable_changed(server, now)
         self.selector.subset.left(server, now)
 
     def eject(self, server: Server, now: float, max_ejected: float) -> None:
@@ -106,7 +108,7 @@
         self.shedding_order.revise(
             self.admission.admit_probability, max(now - self.period.start, 1.0) / 1000.0, self.latency
         )
-        self.period = Period(now)
+        self.period = AdmissionPeriod(now)
 
     def end_period(self, now: float) -> None:
         self.after(
@@ -161,7 +163,7 @@
         # A server that answers other requests meanwhile is busy and not faulty.
         busy = status == Status.TIMEOUT and server.heard_at >= attempt.sent_at
         if status in (Status.OK, Status.ERROR, Status.OVERLOADED, Status.REJECTED):
-            server.heard_at, server.silent, server.absent = now, 0, 0
+            server.last_response_at, server.unanswered, server.connect_failures = now, 0, 0
         if status == Status.OK:
             self.selector.recent.used(server, now)
             gain = 0.0 if self.settings.reports_in_answers else LATENCY_GAIN
@@ -189,7 +191,7 @@
             self.limits.report(server, report, now)
         if report and "utilization" in report:
             self.slow_start.report(server, report["utilization"])
-            self.period.report(report["utilization"])
+            self.period.add_utilization(report["utilization"])
         for name in ("in_flight", "queued", "latency_ms", "utilization"):
             if report and name in report:
                 return self.selector.observe(server, 1.0 + report[name], REPORT, REPORT_GAIN, now)
@@ -202,9 +204,9 @@
         if self.probes and self.selector.table and self.probe_tokens >= 1.0:
             self.probe_tokens = 0.0
             drawn = [self.selector.table.draw(self.rng.random()) for _ in range(PROBE_DRAWS)]
-            self.actions.append(api.Probe(min(drawn, key=lambda s: s.known_at).row.name))
+            self.actions.append(api.Probe(min(drawn, key=lambda s: s.load_updated_at).endpoint.name))
 
-    def probed(self, server: Server, event: api.ProbeResult, now: float) -> None:
+    def probe_ended(self, server: Server, event: api.ProbeResult, now: float) -> None:
         if event.status == Status.OK:
             self.report(server, event.report, now)
         elif event.status == Status.TIMEOUT:
--- a/lupinlink/brain/retry_rules.py
+++ b/lupinlink/brain/retry_rules.py
@@ -1,6 +1,6 @@
 """Rules for retries and refusals that rule out a second effect; they do not choose a server."""
 
-from lupinlink.interface import Attempt, Effect, Endpoint, Request, RequestClass, Scope
+from lupinlink.interface import Attempt, DedupScope, Effect, Endpoint, Request, RequestClass
 
 
 def may_retry_at(attempt: Attempt, cls: RequestClass, endpoint: Endpoint, now: float) -> bool:
--- a/lupinlink/brain/server_selection.py
+++ b/lupinlink/brain/server_selection.py
@@ -10,9 +10,9 @@
 from lupinlink.interface import Server, Settings
 from lupinlink.node import Node
 from lupinlink.spread.aperture import Aperture
-from lupinlink.spread.keys import Homes, checksum
+from lupinlink.spread.key_affinity import KeyPopularity, hash_key
 from lupinlink.spread.recent_use import RecentUse
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE
 
 LATENCY, REPORT = 0, 1  # sources of a load sample
 # A weight falls with this power of the known load, scaled down to how well known loads predicted latencies.
@@ -84,7 +84,7 @@
         return min(1.0, math.exp((server.known_at - now) / LOAD_DECAY_MS))
 
     def size(self, server: Server) -> float:
-        return server.row.size_hint * math.exp(server.size + server.group.size)
+        return server.endpoint.size_hint * math.exp(server.size + server.group.size)
 
     def weight(self, server: Server, now: float) -> float:
         """Current weight; without news, a server's load decays to the usual one of its zone and kind."""
@@ -151,14 +151,14 @@
         if not self.table:
             return
         if key:
-            mix = checksum(key)
-            self.homes.met(mix)
-            number = self.homes.number(mix, len(self.table))
-            yield from self.table.homes(mix, number, MAX_DRAWS, self.rng.random())
+            mix = hash_key(key)
+            self.key_popularity.record(mix)
+            number = self.key_popularity.server_count(mix, len(self.table))
+            yield from self.table.preferred(mix, number, MAX_DRAWS, self.rng.random())
             return
         if len(self.table) > MOST_IN_BUCKET and self._prefers_recent(now):
             server = self.recent.draw(self.rng.random(), now)
-            if server is not None and server in self.table and server.out == 0:
+            if server is not None and server in self.table and server.in_flight == 0:
                 yield server
         for _ in range(MAX_DRAWS):
             self.draw = (self.draw + GOLDEN_RATIO_STEP) % 1.0
--- a/lupinlink/brain/server_subset.py
+++ b/lupinlink/brain/server_subset.py
@@ -9,7 +9,7 @@
 
 from lupinlink.interface import Server
 from lupinlink.spread.aperture import Aperture
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET, WeightedBuckets
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE, WeightedBuckets
 
 RingPlace = tuple[int, str, Server]  # salt, name, server: sorts alike on all nodes
 server_at: Callable[[RingPlace], Server] = itemgetter(2)
@@ -38,7 +38,7 @@
         """A server has left the list."""
         covered_all = self._covers_all()
         self.set_usable(server, False, now)
-        place = bisect_left(self._ring, (server.salt, server.row.name), key=itemgetter(0, 1))
+        place = bisect_left(self._ring, (server.salt, server.endpoint.name), key=itemgetter(0, 1))
         if place < len(self._ring) and self._ring[place][2] is server:
             del self._ring[place]
         self._stale = self._stale or not (covered_all and self._covers_all())
@@ -47,7 +47,7 @@
         """Record whether a listed server is ready and not ejected."""
         if usable == (server in self._usable):
             return
-        cell = self._cells.setdefault((server.row.zone, server.row.cell), {})
+        cell = self._cells.setdefault((server.endpoint.zone, server.endpoint.cell), {})
         if usable:
             self._usable[server] = None
             cell[server] = None
@@ -97,8 +97,8 @@
             return []
         begin = self._next_outside % max(1, len(self._ring))
         around = chain(islice(self._ring, begin, None), islice(self._ring, begin))
-        self._next_outside = begin + MOST_IN_BUCKET
-        some = map(server_at, islice(around, MOST_IN_BUCKET))
+        self._next_outside = begin + MAX_MEAN_BUCKET_SIZE
+        some = map(server_at, islice(around, MAX_MEAN_BUCKET_SIZE))
         return [server for server in some if server in self._usable and server not in self.table]
 
     def _covers_all(self) -> bool:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -27,7 +27,7 @@
     "brain.discovery_outage brain.discovery_schedule brain.discovery_times brain.dispatching brain.health "
     "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection "
     "brain.server_subset brain.waiting cli clock commands commands.serve commands.told errors interface "
-    "limits limits.foresight limits.progress limits.returns list_trust lupinlink net "
+    "limits limits.body_progress limits.capacity_bound limits.idle_reuse list_trust lupinlink net "
     "net.application_servers net.application_servers.attempts net.application_servers.composing "
     "net.application_servers.connection net.application_servers.dialling "
     "net.application_servers.idle_connections net.application_servers.outcomes "
@@ -40,7 +40,7 @@
     "net.list_keeper net.list_reader net.listener_takeover net.lists net.log net.loop_iterations "
     "net.management net.open_requests net.process net.proxy net.service net.slots net.socket_peek "
     "net.terms net.timer_wheel net.twisted_types net.watch net.watch_dial net.watch_listener node records "
-    "settings settings.config settings.model settings.parser spread spread.aperture spread.keys "
+    "settings settings.config settings.model settings.parser spread spread.aperture spread.key_affinity "
     "spread.recent_use spread.weighted_buckets"
 )
 
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -82,11 +82,11 @@
     def test_a_full_server_is_passed_over_and_asked_again_once_it_has_room(self) -> None:
         harness = NodeHarness(Settings((CLASS,), reports_in_answers=True), "ab")
         for server in harness.node.servers.values():
-            server.group.queueing, server.group.cores = MIN_REPORTS, 1.0
-            server.held, server.held_at = 9.0, harness.now
+            server.group.queueing_reports, server.group.cores = MIN_REPORTS, 1.0
+            server.reported_requests, server.reported_at = 9.0, harness.now
         harness.node.limits.known = True
         self.assertFalse([a for a in harness.ask("r1") if isinstance(a, Send)])
-        harness.node.servers["b"].held = 0.0
+        harness.node.servers["b"].reported_requests = 0.0
         sent = [a.endpoint for a in harness.advance_to(harness.now + 60.0) if isinstance(a, Send)]
         self.assertEqual(sent, ["b"])
 
