--- a/lupinlink/brain/admission.py
+++ b/lupinlink/brain/admission.py
@@ -36,7 +36,7 @@
         self.theta1, self.theta2 = INITIAL_THETA
         self.p11, self.p12, self.p22 = INITIAL_COVARIANCE, 0.0, INITIAL_COVARIANCE
         self.error = self.correction = self.delay = 0.0  # y(k), the applied u(k), d
-        self.foresight = Foresight(warm_keys)
+        self.capacity_bound = CapacityBound(warm_keys)
 
     def learn(self, error: float) -> None:
         """RLS step for y(k+1) = th1 y(k) + th2 u(k): eqs. (9) and (10) with n=1, m=0, d=1."""
@@ -67,7 +67,7 @@
         unknown. ``capacity``: ready servers, cold ones in part. ``utilization``: mean of what servers report,
         None where too few do. ``served_share``: share of arrivals that servers accepted, 0 to 1.
         """
-        self.foresight.learn(utilization, capacity, max(served_share, self.admit_probability))
+        self.capacity_bound.observe_period(utilization, capacity, max(served_share, self.admit_probability))
         if rate <= 0.0 or delay is None:
             self.admit_probability, self.refusing, self.correction, self.error = 1.0, False, 0.0, 0.0
             return
@@ -84,7 +84,7 @@
         if light and utilization is not None:  # whatever causes the latency, servers are not overloaded
             self.admit_probability = min(
                 MAX_RECOVERY_FACTOR * self.admit_probability,
-                max(self.foresight.bears(capacity), MIN_SHARE_OF_THROUGHPUT * served_share),
+                max(self.capacity_bound.admissible_share(capacity), MIN_SHARE_OF_THROUGHPUT * served_share),
             )
             self.refusing, self.correction, self.error = self.admit_probability < 1.0, 0.0, error
             return
@@ -146,8 +146,8 @@
             self.tenant_count[i] = 0
         values = []
         for i, cls in enumerate(self.settings.classes):
-            value = cls.worth if self.settings.worth_by_work else cls.worth / max(1.0, latency[i].mean)
-            values += [value, value * self.settings.over_quota_worth]
+            value = cls.value if self.settings.value_by_work else cls.value / max(1.0, latency[i].mean)
+            values += [value, value * self.settings.over_quota_value]
         refuse = (1.0 - mean) * sum(self.counts)
         for i in sorted(range(len(values)), key=values.__getitem__):
             refused = min(refuse, self.counts[i])
--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -15,7 +15,7 @@
         super().__init__(settings, rng)
         self.retry_tokens = RETRY_BURST / 2
 
-    def arrived(self, request: Request, now: float) -> None:
+    def request_arrived(self, request: Request, now: float) -> None:
         if not self.in_time(request, now):  # not counted as an arrival: such requests say nothing about load
             return self.finish(request, RefusalCause.NO_TIME)
         self.period.arrivals += 1
@@ -30,7 +30,7 @@
             return self.finish(request, RefusalCause.SHED)
         self.dispatch(request, now)
 
-    def ended(self, request: Request, attempt: Attempt, event: Outcome, now: float) -> None:
+    def attempt_ended(self, request: Request, attempt: Attempt, event: Outcome, now: float) -> None:
         self.record_outcome(request, attempt, event, now)
         self.server_freed(attempt.server, now)
         if request.done:
@@ -50,5 +50,5 @@
 
     def in_time(self, request: Request, now: float) -> bool:
         """Whether an answer may still come before the client's deadline."""
-        typical_ms = self.latency[request.arrival.class_index].seen()
+        typical_ms = self.latency[request.arrival.class_index].observed_mean()
         return request.arrival.deadline - now >= ANSWER_MARGIN_MS + typical_ms / 2
--- a/lupinlink/brain/concurrency.py
+++ b/lupinlink/brain/concurrency.py
@@ -55,11 +55,14 @@
 
     def requests_held(self, server: Server, now: float) -> float:
         """Estimated requests at a server: its last report, decayed, plus what this node has sent since."""
-        return server.held * math.exp((server.held_at - now) / REPORT_DECAY_MS) + server.sent_since
+        return (
+            server.reported_requests * math.exp((server.reported_at - now) / REPORT_DECAY_MS)
+            + server.sent_since_report
+        )
 
     def limit(self, server: Server) -> float:
         """From this many held requests on one more would be late; infinite where that is not known."""
-        if server.group.queueing < MIN_REPORTS:
+        if server.group.queueing_reports < MIN_REPORTS:
             return math.inf
         return max(MIN_LIMIT, server.group.cores * TARGET_SHARE / self.service_time - 1.0)
 
@@ -76,11 +79,11 @@
         """
         mean = in_flight / max(1, servers)
         if not self.known:
-            return (1.0 + mean) / (1.0 + server.out / size)
+            return (1.0 + mean) / (1.0 + server.in_flight / size)
         return (1.0 + self._peers * mean) / (1.0 + self.requests_held(server, now) / size)
 
     def latest_useful_send(self, request: Request) -> float:
         """When a request need not wait for room any longer, as its answer would have no value."""
-        if not self.known or request.cls.late_worth > 0.0:
-            return request.aim_at
-        return request.aim_at - SERVICE_TIMES_LEFT * self.service_time * request.cls.aim_ms
+        if not self.known or request.cls.late_value > 0.0:
+            return request.target_at
+        return request.target_at - SERVICE_TIMES_LEFT * self.service_time * request.cls.target_latency_ms
--- a/lupinlink/brain/discovery_node.py
+++ b/lupinlink/brain/discovery_node.py
@@ -37,19 +37,19 @@
         """News from discovery: servers may be new, or a hold may have ended."""
         raise NotImplementedError
 
-    def started(self, now: float) -> None:
+    def node_started(self, now: float) -> None:
         """Start timers at random, as nodes started together must not revise admission in step."""
         self.period.start = now
-        self.after(self.rng.uniform(0.2, 1.0) * self.period_ms, self.end_period)
+        self.call_later(self.rng.uniform(0.2, 1.0) * self.period_ms, self.end_period)
         if self.settings.subscribe:
             self.discovery.started(now)
             self.plan_call(now)
 
-    def list_news(self, event: Membership, now: float) -> None:
+    def list_updated(self, event: Membership, now: float) -> None:
         """Apply a change of the list at once."""
         self.selector.weights_due_at = now
         if event.kind == MembershipKind.FAILED:
-            self.discovery_news(self.simulator_failure(now), now)
+            self.discovery_updated(self.simulator_failure(now), now)
         elif event.kind != MembershipKind.CACHED and event.current:
             self.discovery.confirmed(now)
         self.log_trust(now)
@@ -61,20 +61,21 @@
             return DiscoveryWatchEnded(last_activity_at=now, timed_out=False, may_have_update=False)
         return DiscoveryCallFailed(connected=False, answered=False, took_ms=0.0)
 
-    def discovery_news(self, event: DiscoveryEvent, now: float) -> None:
+    def discovery_updated(self, event: DiscoveryEvent, now: float) -> None:
         """Pass an event to the schedule, which may plan the next call."""
         match event:
             case DiscoveryMoved():
                 self.discovery.moved(now)
             case ProcessStarted():
                 self.discovery.restarted(now)
-                self.after(self.discovery.times.max_hold_ms, self.log_trust)  # even if no request arrives
+                # Logged even if no request arrives until then.
+                self.call_later(self.discovery.times.max_hold_ms, self.log_trust)
             case DiscoveryCallLate():
                 self.discovery.call_late(now)
             case DiscoveryCallReached():
                 self.discovery.call_reached(now, event)
                 if self.settings.subscribe:
-                    self.after(self.discovery.times.pending_hold_after_ms, self.log_trust)
+                    self.call_later(self.discovery.times.pending_hold_after_ms, self.log_trust)
             case DiscoveryCallAnswered():
                 self.discovery.call_answered(now)
             case DiscoveryPartial():
@@ -85,8 +86,10 @@
                 self.discovery.former_watch_ended(event.last_activity_at)
             case DiscoveryWatchEnded():
                 self.discovery.watch_ended(now, event)
-                if self.settings.subscribe and event.may_have_news:
-                    self.after(ENDED_NOTIFIED_MS + self.discovery.times.pending_hold_after_ms, self.log_trust)
+                if self.settings.subscribe and event.may_have_update:
+                    self.call_later(
+                        ENDED_NOTIFIED_MS + self.discovery.times.pending_hold_after_ms, self.log_trust
+                    )
         self.log_trust(now)
         self.plan_call(now)
         self.resume_waiting(now)
--- a/lupinlink/brain/discovery_schedule.py
+++ b/lupinlink/brain/discovery_schedule.py
@@ -11,7 +11,7 @@
 
 from lupinlink.brain.discovery_answers import PendingAnswers
 from lupinlink.brain.discovery_outage import CallFailure, OutageDetector
-from lupinlink.brain.discovery_times import ANSWER_MS, DRAIN_GRACE_MS, BACKOFF_JITTER, DiscoveryTimes
+from lupinlink.brain.discovery_times import ANSWER_MS, BACKOFF_JITTER, DRAIN_GRACE_MS, DiscoveryTimes
 from lupinlink.interface import (
     DiscoveryCallFailed,
     DiscoveryCallReached,
@@ -116,9 +116,9 @@
         """
         self._reset(watch_was_ended=not event.timed_out)
         self.watching = False
-        self._hold_from = event.heard_at + self.times.hold_after_ms
-        self._next_at = now if event.silent else now + self._next_backoff()
-        if event.may_have_news and not event.silent:
+        self._hold_from = event.last_activity_at + self.times.hold_after_ms
+        self._next_at = now if event.timed_out else now + self._next_backoff()
+        if event.may_have_update and not event.timed_out:
             self._pending.watch_ended(now)
 
     def call_late(self, now: float) -> None:
@@ -154,18 +154,18 @@
     def call_failed(self, now: float, event: DiscoveryCallFailed) -> None:
         """A call ended without a list."""
         self._calls = max(0, self._calls - 1)
-        if event.refused or not event.reached:
-            self._pending.not_answered([event.call])
+        if event.refused or not event.connected:
+            self._pending.not_answered([event.call_number])
         if self.watching:
             return
         self._late_failures += event.took_ms >= QUICK_FAILURE_MS
-        if event.may_have_told:
+        if event.may_have_notified:
             self._partial_from = min(self._partial_from, now)
         quick = event.took_ms < QUICK_FAILURE_MS
-        if not event.answered and (quick or event.reached):
-            if self._outage.failed(failure_of(event), now, event.call):
+        if not event.answered and (quick or event.connected):
+            if self._outage.failed(failure_of(event), now, event.call_number):
                 self._unreachable_at(now - event.took_ms)
-        elif not event.reached and self._calls:
+        elif not event.connected and self._calls:
             return  # its connection never came up, and others were started in parallel
         if self._calls and self._outage.seems_down:
             return  # during an outage one call at a time is enough
@@ -240,7 +240,7 @@
 
 def failure_of(event: DiscoveryCallFailed) -> CallFailure:
     """How this call failed."""
-    if not event.reached:
+    if not event.connected:
         return CallFailure.REFUSED
     if event.timed_out:
         return CallFailure.UNANSWERED
--- a/lupinlink/brain/dispatching.py
+++ b/lupinlink/brain/dispatching.py
@@ -5,7 +5,7 @@
 
 from lupinlink.brain.discovery_node import DiscoveryNode
 from lupinlink.brain.health import MAX_EJECTED_SHARE
-from lupinlink.brain.retry_rules import begin_by, bound_to_cell, may_retry_at, may_retry_anywhere, may_refuse
+from lupinlink.brain.retry_rules import begin_by, bound_to_cell, may_refuse, may_retry_anywhere, may_retry_at
 from lupinlink.brain.server_selection import LATENCY, OVERDUE_GAIN
 from lupinlink.brain.waiting import WaitingFor, WaitingRequest, WaitingRequests
 from lupinlink.interface import Attempt, Cancel, Fail, RefusalCause, Refuse, Request, Server, Settings
@@ -13,7 +13,7 @@
 RETRY_AFTER_TARGETS = 0.5  # advised wait before a retry, in target latencies
 # An attempt is overdue so many deviations over the mean, and no sooner than at this share of its target:
 # where answers are quick, a pause of this process does not show a stuck server.
-OVERDUE_DEVS, MIN_OVERDUE_TARGETS = 2.0, 0.5
+OVERDUE_DEVS, MIN_OVERDUE = 2.0, 0.5
 # Factor on its age until the next check; deviations until it is lost; silent attempts of a stuck server.
 OVERDUE_RECHECK_FACTOR, LOST_DEVS, MAX_SILENT = 1.5, 20.0, 3
 SCAN_INTERVAL_MS = 50.0  # between two scans for all waiting requests, while no backend can take one
@@ -45,7 +45,7 @@
     def finish(self, request: Request, cause: RefusalCause | None) -> None:
         """Give the final answer: a refusal if there is a cause and a retry is harmless, else a failure."""
         name, is_harmless = request.arrival.request_id, cause is not None and may_refuse(request)
-        wait = min(self.settings.max_retry_after_ms, RETRY_AFTER_TARGETS * request.cls.aim_ms)
+        wait = min(self.settings.max_retry_after_ms, RETRY_AFTER_TARGETS * request.cls.target_latency_ms)
         if cause is not None and is_harmless:
             self.actions.append(Refuse(name, wait * self.rng.uniform(0.5, 1.0), cause))
         else:
@@ -113,7 +113,7 @@
 
     def has_room(self, server: Server, now: float) -> bool:
         """Whether a server may take one more request of any kind."""
-        out = now < server.ejected_until or (server.trial and server.out > 0)
+        out = now < server.ejected_until or (server.on_probation and server.in_flight > 0)
         return not out and self.limits.has_room(server, now)
 
     def is_exhausted(self, request: Request, now: float) -> bool:
@@ -126,23 +126,23 @@
         if not server.ready or any(a.server is server for a in request.attempts):
             return False
         # No hedged requests: they cost more than they save (docs/design.md).
-        is_harmless = all(may_retry_at(a, request.cls, server.row, now) for a in request.attempts)
+        is_harmless = all(may_retry_at(a, request.cls, server.endpoint, now) for a in request.attempts)
         return is_harmless and self.slow_start.allows(server, now)
 
     def send(self, request: Request, server: Server, now: float) -> None:
         """Start an attempt and check on it when it is overdue."""
         self.waiting.remove(request)
         attempt = self.start_attempt(request, server, begin_by(request), now)
-        stats, target_ms = self.latency[request.arrival.class_index], request.cls.aim_ms
-        late_ms = min(target_ms, max(stats.mean + OVERDUE_DEVS * stats.dev, MIN_OVERDUE_TARGETS * target_ms))
-        self.after(late_ms, lambda t: self.overdue(request, attempt, t, 1))
+        stats, target_ms = self.latency[request.arrival.class_index], request.cls.target_latency_ms
+        late_ms = min(target_ms, max(stats.mean + OVERDUE_DEVS * stats.deviation, MIN_OVERDUE * target_ms))
+        self.call_later(late_ms, lambda t: self.overdue(request, attempt, t, 1))
 
     def wait(self, request: Request, cause: WaitingFor, now: float) -> None:
         """Queue a request for as long as its answer has a value."""
         if (left := self.useful_until(request) - now) <= 0.0:
             return self.give_up(request, cause)
         waiting = self.waiting.add(request, cause)
-        self.after(left, lambda t: self.wait_expired(waiting, t))
+        self.call_later(left, lambda t: self.wait_expired(waiting, t))
         if cause is WaitingFor.LIST:
             self.plan_release(now)
         else:
@@ -170,7 +170,7 @@
         ends_at = self.discovery.hold_may_end_at(now)
         if ends_at < self.next_release_at:
             self.next_release_at = ends_at
-            self.after(ends_at - now, self.release_due)
+            self.call_later(ends_at - now, self.release_due)
 
     def release_due(self, now: float) -> None:
         if now >= self.next_release_at:
@@ -189,13 +189,13 @@
         self.plan_scan(now)
         if self.waiting.any(WaitingFor.LIST):
             self.next_release_at = now
-            self.after(0.0, self.release_due)
+            self.call_later(0.0, self.release_due)
 
     def plan_scan(self, now: float) -> None:
         """Plan one scan for all requests that wait for a backend."""
         if self.next_scan_at == math.inf and self.waiting.any(WaitingFor.BACKEND):
             self.next_scan_at = now + SCAN_INTERVAL_MS
-            self.after(SCAN_INTERVAL_MS, self.scan_due)
+            self.call_later(SCAN_INTERVAL_MS, self.scan_due)
 
     def scan_due(self, now: float) -> None:
         self.next_scan_at = math.inf
@@ -227,14 +227,14 @@
             return
         server, age, stats = attempt.server, now - attempt.sent_at, self.latency[request.arrival.class_index]
         self.selector.observe(server, age / stats.mean, LATENCY, OVERDUE_GAIN, now)
-        self.after((OVERDUE_RECHECK_FACTOR - 1.0) * age, lambda t: self.overdue(request, attempt, t))
+        self.call_later((OVERDUE_RECHECK_FACTOR - 1.0) * age, lambda t: self.overdue(request, attempt, t))
         # A stuck server loses all it is sent. If it answers others, only this connection is silent.
-        unheard = server.heard_at < attempt.sent_at
-        server.silent += is_first * unheard
-        is_stuck = unheard and (server.silent >= MAX_SILENT or (server.trial and not is_first))
+        unheard = server.last_response_at < attempt.sent_at
+        server.unanswered += is_first * unheard
+        is_stuck = unheard and (server.unanswered >= MAX_SILENT or (server.on_probation and not is_first))
         if is_stuck:
             self.eject(server, now, MAX_EJECTED_SHARE * self.ready)
-        if is_stuck or age > stats.mean + LOST_DEVS * stats.dev:
+        if is_stuck or age > stats.mean + LOST_DEVS * stats.deviation:
             elsewhere = self.may_go_elsewhere(request, attempt, now)
             if elsewhere and self.settings.may_cancel and self.may_retry(request, now):
                 self.actions.append(Cancel(request.arrival.request_id, len(request.attempts) - 1))
@@ -243,8 +243,8 @@
         """Whether a usable server that has not had the request may get it after this attempt."""
         if not may_retry_anywhere(attempt, request.cls, now):
             return False
-        used = {a.server.row.name for a in request.attempts}  # by name: a restarted server is not another one
+        used = {a.server.endpoint.name for a in request.attempts}  # by name: a restart changes nothing
         row, subset = bound_to_cell(request), self.selector.subset
         servers = subset.usable() if row is None else subset.cell(row.zone, row.cell)
-        others = (s for s in servers if s.row.name not in used)
-        return any(may_retry_at(attempt, request.cls, s.row, now) for s in others)
+        others = (s for s in servers if s.endpoint.name not in used)
+        return any(may_retry_at(attempt, request.cls, s.endpoint, now) for s in others)
--- a/lupinlink/brain/load_monitoring.py
+++ b/lupinlink/brain/load_monitoring.py
@@ -49,7 +49,7 @@
             )
             for c in settings.classes
         ]
-        late_value = sum(c.late_worth for c in settings.classes) / len(settings.classes)
+        late_value = sum(c.late_value for c in settings.classes) / len(settings.classes)
         self.admission = Admission(settings.peers, late_value, settings.warm_keys)
         self.shedding_order, self.outlier_detector, self.slow_start = (
             SheddingOrder(settings),
@@ -62,7 +62,7 @@
         self.period, self.probe_tokens = AdmissionPeriod(0.0), 0.0
         self.probes = settings.may_probe and settings.reports_in_probes and not settings.reports_in_answers
         self.period_ms = min(
-            max(PERIOD_MS, target_ms := min(c.aim_ms for c in settings.classes)),
+            max(PERIOD_MS, target_ms := min(c.target_latency_ms for c in settings.classes)),
             MAX_PERIOD_TARGETS * target_ms,
         )
 
@@ -76,13 +76,13 @@
         for server in self.outlier_detector.returned(now):
             self.server_usable_changed(server, now)
 
-    def usable_changed(self, server: Server, now: float) -> None:
+    def server_usable_changed(self, server: Server, now: float) -> None:
         """A server has become usable, or is so no longer."""
-        usable = server.usable(now) and self.servers.get(server.row.name) is server
+        usable = server.usable(now) and self.servers.get(server.endpoint.name) is server
         self.selector.subset.set_usable(server, usable, now)
         self.ready_capacity.set_usable(server, usable, now)
 
-    def listed(self, server: Server) -> None:
+    def server_listed(self, server: Server) -> None:
         """A new server process. Its first token is random: all nodes would send to it at once while cold."""
         server.tokens = self.rng.random()
         self.selector.subset.listed(server)
@@ -94,11 +94,11 @@
     def eject(self, server: Server, now: float, max_ejected: float) -> None:
         """Eject a server for a while, unless ``max_ejected`` are."""
         if self.outlier_detector.eject(server, now, max_ejected):
-            self.usable_changed(server, now)
+            self.server_usable_changed(server, now)
 
     def apply_foresight(self, now: float) -> None:
         """If servers were lost, refuse what the others cannot serve at once: delays show it too late."""
-        admission, share = self.admission, self.admission.foresight.look(self.capacity(now))
+        admission, share = self.admission, self.admission.capacity_bound.update(self.capacity(now))
         if share < admission.admit_probability:
             admission.admit_probability, admission.refusing, admission.correction = share, True, 0.0
             self.begin_period(now)
@@ -111,7 +111,7 @@
         self.period = AdmissionPeriod(now)
 
     def end_period(self, now: float) -> None:
-        self.after(
+        self.call_later(
             self.period_ms * self.rng.uniform(1.0 - PERIOD_JITTER, 1.0 + PERIOD_JITTER), self.end_period
         )
         period, seconds = self.period, max(now - self.period.start, 1.0) / 1000.0
@@ -120,13 +120,17 @@
             < (MAX_PERIODS if 0 < period.count < MIN_SAMPLES else MIN_PERIODS) * self.period_ms
         ):
             return
-        new_arrivals = float(period.arrivals - period.returned)
+        new_arrivals = float(period.arrivals - period.retries)
         if not self.settings.clients_mark_retries:  # retries of refused clients are no new load
             new_arrivals = max(period.arrivals - RETRY_SHARE * period.refused, 0.5 * period.arrivals)
-        utilization = period.busy_sum / period.busy_count if period.busy_count >= MIN_SAMPLES else None
+        utilization = (
+            period.utilization_sum / period.utilization_count
+            if period.utilization_count >= MIN_SAMPLES
+            else None
+        )
         rate, delay, ready = new_arrivals / seconds, self.delay(period, seconds, now), self.capacity(now)
         self.admission.revise(
-            rate, delay, ready, utilization, min(1.0, period.held / max(1, period.arrivals))
+            rate, delay, ready, utilization, min(1.0, period.processed / max(1, period.arrivals))
         )
         even_rate = period.arrivals / seconds / 1000.0 / max(1, len(self.selector.table))
         self.slow_start.even_rate_per_ms += 0.5 * (even_rate - self.slow_start.even_rate_per_ms)
@@ -134,14 +138,16 @@
         self.selector.spill = min(max(excess, 0.0), 1.0)
         self.begin_period(now)
 
-    def delay(self, period: Period, seconds: float, now: float) -> float | None:
+    def delay(self, period: AdmissionPeriod, seconds: float, now: float) -> float | None:
         """Mean delay in target latencies: of served requests, blended with Little's law for the open ones.
 
         Where answers take as long as a period, served requests show the admission before last: so the longer
         latencies are, the more the open requests count.
         """
         open_attempts = [
-            (now - a.sent_at, r.cls.aim_ms) for r, a in self.outstanding() if a.server.load < OUTLIER_LOAD
+            (now - a.sent_at, r.cls.target_latency_ms)
+            for r, a in self.outstanding()
+            if a.server.load < OUTLIER_LOAD
         ]
         if not period.count:
             # A single slow request is no overload.
@@ -149,19 +155,19 @@
             return oldest if len(open_attempts) >= MIN_SAMPLES and oldest > self.admission.target else None
         served, period_ms = period.delay_sum / period.count, seconds * 1000.0
         # Full servers refuse at once: counted in the throughput, their refusals would hide an overload.
-        held = max(1, period.held)
+        held = max(1, period.processed)
         open_delay = sum(1.0 / target_ms for _, target_ms in open_attempts) * period_ms / held
         return served + min(1.0, period.latency_sum / held / period_ms) * (open_delay - served)
 
     def record_outcome(self, request: Request, attempt: Attempt, event: api.Outcome, now: float) -> None:
         """Learn from an outcome about the server and about delays; quick errors say nothing about load."""
-        server, status, target_ms = attempt.server, event.status, request.cls.aim_ms
+        server, status, target_ms = attempt.server, event.status, request.cls.target_latency_ms
         stats, delay = self.latency[request.arrival.class_index], (now - attempt.sent_at) / target_ms
         self.report(server, event.report, now)
         if status == Status.TIMEOUT and now - attempt.sent_at < stats.mean:
             return  # the client's deadline was short, which says nothing about the server
         # A server that answers other requests meanwhile is busy and not faulty.
-        busy = status == Status.TIMEOUT and server.heard_at >= attempt.sent_at
+        busy = status == Status.TIMEOUT and server.last_response_at >= attempt.sent_at
         if status in (Status.OK, Status.ERROR, Status.OVERLOADED, Status.REJECTED):
             server.last_response_at, server.unanswered, server.connect_failures = now, 0, 0
         if status == Status.OK:
@@ -176,10 +182,10 @@
         if not busy and status not in (Status.OVERLOADED, Status.CANCELLED, Status.NOT_SENT, Status.REJECTED):
             gain = TIMEOUT_GAIN if status == Status.TIMEOUT else FAILURE_GAIN
             if self.outlier_detector.record(server, gain, status != Status.OK, now, self.ready):
-                self.usable_changed(server, now)
-        server.absent += status == Status.UNREACHABLE
+                self.server_usable_changed(server, now)
+        server.connect_failures += status == Status.UNREACHABLE
         # No process is there: ejected without a limit on their number.
-        if status == Status.UNREACHABLE and server.absent >= MAX_UNREACHABLE:
+        if status == Status.UNREACHABLE and server.connect_failures >= MAX_UNREACHABLE:
             self.eject(server, now, math.inf)
         if (busy or status in (Status.OK, Status.OVERLOADED)) and server.load < OUTLIER_LOAD:
             # One bad server must not shed traffic that others could serve, nor one long wait outweigh many.
--- a/lupinlink/brain/server_selection.py
+++ b/lupinlink/brain/server_selection.py
@@ -42,7 +42,7 @@
         self.limits = limits
         self.baselines: dict[tuple[int, int], float] = {}  # usual log sample, by source and zone
         self.weights_due_at, self.spill, self.cov, self.var, self.trust = -math.inf, 0.0, 0.05, 0.1, 0.5
-        self.homes = Homes(settings.peers)
+        self.key_popularity = KeyPopularity(settings.peers)
         self.subset = ServerSubset(Aperture(settings.rank, settings.peers), self.weight)
         self.table = self.subset.table
         self.recent: RecentUse[Server] = RecentUse(REUSE_IDLE_SHARE * settings.idle_close_ms)
@@ -55,7 +55,7 @@
             return  # NaN and infinite reports must not distort the weights
         self._changed[server] = None
         # The network time to another zone is no load: a latency is compared with the usual one of its zone.
-        baseline = (source, server.row.zone if source == LATENCY else -1)
+        baseline = (source, server.endpoint.zone if source == LATENCY else -1)
         group, raw = server.group, math.log(sample) - self.baselines.get(baseline, 0.0)
         # The same number of held requests is more load on a small server.
         raw -= (server.size + group.size) * (source == REPORT)
@@ -72,16 +72,16 @@
                 (server, SIZE_GAIN_PER_S),
                 (group, GROUP_SIZE_GAIN_PER_S),
             ):  # in proportion to time, not to traffic
-                step = rate * load * min((now - item.sized_at) / 1000.0, 2.0)
+                step = rate * load * min((now - item.size_updated_at) / 1000.0, 2.0)
                 item.size = min(max(item.size - step, -MAX_LOG_SIZE), MAX_LOG_SIZE)
-                item.sized_at = now
+                item.size_updated_at = now
         prior = group.load + (server.load - group.load) * self.decay(server, now)
-        server.load, server.known_at = prior + gain * (load - prior), now
+        server.load, server.load_updated_at = prior + gain * (load - prior), now
         group.count += gain > 0.0
         group.load += min(gain, max(GROUP_GAIN, 1.0 / (group.count + 1))) * (load - group.load)
 
     def decay(self, server: Server, now: float) -> float:
-        return min(1.0, math.exp((server.known_at - now) / LOAD_DECAY_MS))
+        return min(1.0, math.exp((server.load_updated_at - now) / LOAD_DECAY_MS))
 
     def size(self, server: Server) -> float:
         return server.endpoint.size_hint * math.exp(server.size + server.group.size)
@@ -90,9 +90,9 @@
         """Current weight; without news, a server's load decays to the usual one of its zone and kind."""
         usual = server.group.load
         log = -LOAD_EXPONENT * self.trust * (usual + (server.load - usual) * self.decay(server, now))
-        if server.row.zone != self.settings.zone:
+        if server.endpoint.zone != self.settings.zone:
             log -= LOG_WEIGHT_PER_PRICE * self.settings.cross_zone_price * (1.0 - self.spill)
-        health = (1.0 - server.failing) ** 2
+        health = (1.0 - server.failure_rate) ** 2
         return math.exp(log) * health * self.slow_start.warmth(server, now) * self.size(server) + 1e-9
 
     def refresh(self, now: float) -> None:
@@ -101,7 +101,7 @@
             return
         self.subset.settle(now)
         self._weight_turns += 1
-        for server in (*self._changed, *self.table.some(self._weight_turns)):
+        for server in (*self._changed, *self.table.bucket_items(self._weight_turns)):
             if server in self.table:
                 self.table.set(server, self.weight(server, now))
         self._changed.clear()
@@ -130,7 +130,7 @@
         Among very many servers each call yields the next few of them.
         """
         self._scan_turns += 1
-        yield self.table.some(self._scan_turns)
+        yield self.table.bucket_items(self._scan_turns)
         yield [s for s in self.subset.outside() if self.may_use(s, now)]
 
     def may_use(self, server: Server, now: float) -> bool:
@@ -143,7 +143,7 @@
 
     def _prefers_recent(self, now: float) -> bool:
         """Whether the next request tries a recently used server first."""
-        return self.rng.random() * REUSE_POOL_SIZE < self.recent.number(now)
+        return self.rng.random() * REUSE_POOL_SIZE < self.recent.count(now)
 
     def candidates(self, key: str, now: float) -> Iterable[Server]:
         """Random servers by weight. With a key its hash decides: while weights hold, all nodes send it to the
@@ -156,7 +156,7 @@
             number = self.key_popularity.server_count(mix, len(self.table))
             yield from self.table.preferred(mix, number, MAX_DRAWS, self.rng.random())
             return
-        if len(self.table) > MOST_IN_BUCKET and self._prefers_recent(now):
+        if len(self.table) > MAX_MEAN_BUCKET_SIZE and self._prefers_recent(now):
             server = self.recent.draw(self.rng.random(), now)
             if server is not None and server in self.table and server.in_flight == 0:
                 yield server
--- a/lupinlink/brain/server_subset.py
+++ b/lupinlink/brain/server_subset.py
@@ -31,7 +31,7 @@
     def listed(self, server: Server) -> None:
         """A server is new on the list."""
         covered_all = self._covers_all()
-        insort(self._ring, (server.salt, server.row.name, server))
+        insort(self._ring, (server.salt, server.endpoint.name, server))
         self._stale = self._stale or not (covered_all and self._covers_all())
 
     def left(self, server: Server, now: float) -> None:
@@ -61,8 +61,8 @@
             self.table.add(server, server.salt, self._weigh(server, now))
 
     def _leave_cell(self, server: Server) -> None:
-        """Remove a server from its cell; its row may name another cell by now than when it joined."""
-        cell = (server.row.zone, server.row.cell)
+        """Remove a server from its cell; its endpoint may name another cell by now than when it joined."""
+        cell = (server.endpoint.zone, server.endpoint.cell)
         cells = [cell] if server in self._cells.get(cell, ()) else list(self._cells)
         for one in cells:
             self._cells[one].pop(server, None)
@@ -83,7 +83,7 @@
             return
         self._stale = False
         usable = self._usable
-        subset = self._aperture.walk(self._ring, lambda place: place[2] in usable)
+        subset = self._aperture.ring_subset(self._ring, lambda place: place[2] in usable)
         wanted = dict.fromkeys(map(server_at, subset))
         for server in [server for server in self.table if server not in wanted]:
             self.table.remove(server)
--- a/lupinlink/lab/variants.py
+++ b/lupinlink/lab/variants.py
@@ -52,7 +52,7 @@
         served_share: float = 0.0,
     ) -> None:
         super().revise(rate, delay, capacity, utilization, served_share)
-        self.admit_probability, self.refusing, self.foresight.need = 1.0, False, 0.0
+        self.admit_probability, self.refusing, self.capacity_bound.needed_servers = 1.0, False, 0.0
 
 
 class NoRefusals(Balancer):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -6,7 +6,7 @@
 import sys
 import unittest
 
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 LOADED = """
 import sys
@@ -25,23 +25,23 @@
 PLAIN = (
     "brain brain.admission brain.balancer brain.concurrency brain.discovery_answers brain.discovery_node "
     "brain.discovery_outage brain.discovery_schedule brain.discovery_times brain.dispatching brain.health "
-    "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection "
-    "brain.server_subset brain.waiting cli clock commands commands.serve commands.told errors interface "
-    "limits limits.body_progress limits.capacity_bound limits.idle_reuse list_trust lupinlink net "
-    "net.application_servers net.application_servers.attempts net.application_servers.composing "
-    "net.application_servers.connection net.application_servers.dialling "
-    "net.application_servers.idle_connections net.application_servers.outcomes "
-    "net.application_servers.pool net.application_servers.pools net.application_servers.sending "
-    "net.backend_list net.bodies net.clients net.clients.accepting net.clients.answers net.clients.calls "
-    "net.clients.peer net.clients.phases net.clients.places net.clients.queue_wait net.clients.requests "
-    "net.components net.counters net.deadlines net.discovery_client net.discovery_log net.handover "
-    "net.handover.capacity net.handover.channel net.handover.messages net.handover.upgrade net.http1 "
-    "net.http1_messages net.http1_writers net.leavers net.lifecycle net.list_entries net.list_intake "
+    "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection brain.server_subset "
+    "brain.waiting cli clock commands commands.serve commands.told errors interface limits "
+    "limits.body_progress limits.capacity_bound limits.idle_reuse list_trust lupinlink net "
+    "net.application_servers net.application_servers.attempts net.application_servers.connection "
+    "net.application_servers.dialling net.application_servers.idle_connections "
+    "net.application_servers.outcomes net.application_servers.pool net.application_servers.pools "
+    "net.application_servers.request_encoding net.application_servers.sending net.backend_list net.bodies "
+    "net.client_drain net.clients net.clients.connection net.clients.connection_table net.clients.listener "
+    "net.clients.phases net.clients.queue_wait net.clients.request_reader net.clients.requests "
+    "net.clients.responses net.components net.counters net.deadlines net.discovery_client net.discovery_log "
+    "net.handover net.handover.capacity net.handover.channel net.handover.messages net.handover.upgrade "
+    "net.http1 net.http1_messages net.http1_writers net.lifecycle net.list_entries net.list_intake "
     "net.list_keeper net.list_reader net.listener_takeover net.lists net.log net.loop_iterations "
-    "net.management net.open_requests net.process net.proxy net.service net.slots net.socket_peek "
-    "net.terms net.timer_wheel net.twisted_types net.watch net.watch_dial net.watch_listener node records "
-    "settings settings.config settings.model settings.parser spread spread.aperture spread.key_affinity "
-    "spread.recent_use spread.weighted_buckets"
+    "net.management net.open_requests net.process net.proxy net.request_types net.service net.slots "
+    "net.socket_peek net.timer_wheel net.twisted_types net.watch net.watch_dial net.watch_listener node "
+    "records settings settings.config settings.model settings.parser spread spread.aperture "
+    "spread.key_affinity spread.recent_use spread.weighted_buckets"
 )
 
 
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -47,12 +47,14 @@
 
     def test_reports_that_make_no_sense_leave_no_mark(self) -> None:
         self.learn()
-        before = (self.server.held, self.server.group.cores, self.limits.service_time)
+        before = (self.server.reported_requests, self.server.group.cores, self.limits.service_time)
         for held, queued in ((math.nan, 1.0), (2.0, 3.0), (-1.0, -2.0), (math.inf, 1.0), (3.0, math.nan)):
             self.limits.report(self.server, queueing(held, queued), 1.0)
         for aims in (math.nan, math.inf, -1.0, 0.0):
             self.limits.record_answer(queueing(0.0, 0.0), aims)
-        self.assertEqual((self.server.held, self.server.group.cores, self.limits.service_time), before)
+        self.assertEqual(
+            (self.server.reported_requests, self.server.group.cores, self.limits.service_time), before
+        )
 
     def test_one_odd_report_or_answer_moves_the_limit_by_little(self) -> None:
         self.learn()
@@ -64,7 +66,7 @@
 
     def test_what_it_holds_is_its_report_as_it_fades_and_the_sends_since(self) -> None:
         self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
-        self.server.sent_since = 2
+        self.server.sent_since_report = 2
         self.assertAlmostEqual(self.limits.requests_held(self.server, 0.0), 5.0)
         self.assertAlmostEqual(self.limits.requests_held(self.server, REPORT_DECAY_MS), 2.0 + 3.0 / math.e)
         self.limits.report(self.server, queueing(1.0, 0.0), 10.0)
@@ -74,7 +76,7 @@
         self.learn()
         soon = Request(Arrival("r", 0, 0, 880.0), CLASS, AIM_MS)
         self.assertLess(self.limits.latest_useful_send(soon), AIM_MS - WORK_MS)
-        late = Request(Arrival("r", 0, 0, 880.0), RequestClass(AIM_MS, 880.0, late_worth=0.2), AIM_MS)
+        late = Request(Arrival("r", 0, 0, 880.0), RequestClass(AIM_MS, 880.0, late_value=0.2), AIM_MS)
         self.assertEqual(self.limits.latest_useful_send(late), AIM_MS)
 
 
