--- a/lupinlink/lab/callers.py
+++ b/lupinlink/lab/callers.py
@@ -31,7 +31,7 @@
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
-        self._parser = http1.AnswerParser()
+        self._parser = http1.ResponseParser()
         self.transport: asyncio.Transport | None = None
         self.call: Call | None = None
         self.used = False  # it has carried a request before
@@ -67,7 +67,7 @@
         self._pool.lost(self)
         call, self.call = self.call, None
         if call is not None:
-            if self.used and not self._parser.begun() and not call.again:
+            if self.used and not self._parser.started() and not call.again:
                 # It crossed the proxy's closing of a connection at rest: once more, on a new one.
                 call.again = True
                 self._pool.resent += 1
--- a/lupinlink/lab/emulated.py
+++ b/lupinlink/lab/emulated.py
@@ -221,7 +221,7 @@
             self.probed += 1
             world.referee.probed()
             process.overhead(process.machine.probe_work_ms)
-            passage.write(http1.answer(200, self._report(process.report()), b"", close=False))
+            passage.write(http1.response(200, self._report(process.report()), b"", close=False))
             return
         name = message.get("x-trace-id")
         ask = self.fronts.ask_of(passage, name or "", message)
@@ -229,7 +229,7 @@
             # A request that nobody sent: the referee must hear of it, whoever made it up.
             place = world.farm.places[self.name]
             world.referee.sent(name or "", place.name, place.zone, place.cell, world.clock.now(), False)
-            passage.write(http1.answer(400, [], b"", close=True))
+            passage.write(http1.response(400, [], b"", close=True))
             return
         self.fronts.look_for_ends(name)
         place = world.farm.places[self.name]
@@ -282,17 +282,17 @@
         headers = self._report(report)
         if how is Ending.SERVED:
             self.end(passage, End.SERVED)
-            passage.write(http1.answer(200, headers, ask.name.encode(), close=False))
+            passage.write(http1.response(200, headers, ask.name.encode(), close=False))
         elif how in NEVER_RUN:
             self.end(passage, End.NEVER_RAN)
             status = 503 if how is Ending.FULL else 504
-            passage.write(http1.answer(status, [*headers, ("X-Never-Ran", "1")], b"", close=False))
+            passage.write(http1.response(status, [*headers, ("X-Never-Ran", "1")], b"", close=False))
         elif how is Ending.SPOILT:
             self.end(passage, End.ERROR)
             passage.write(NOISE)
         else:
             self.end(passage, End.ERROR)
-            passage.write(http1.answer(500, headers, b"", close=False))
+            passage.write(http1.response(500, headers, b"", close=False))
 
     def _report(self, report: dict[str, float]) -> list[tuple[str, str]]:
         if not self.fronts.world.scenario.rules.reports:
@@ -471,12 +471,12 @@
         if self._transport is None or self._transport.is_closing():
             return
         if rows is None:
-            self.write(http1.answer(503, [], b"", close=True))
+            self.write(http1.response(503, [], b"", close=True))
             self._transport.close()
             return
         self.front.gave(rows)
         body = json.dumps(self.front.document(rows, True)).encode()
-        self.write(http1.answer(200, [("Content-Type", "application/json")], body, close=False))
+        self.write(http1.response(200, [("Content-Type", "application/json")], body, close=False))
 
     def line(self, text: str) -> None:
         """A line of the watch."""
@@ -501,7 +501,7 @@
         if self._open:
             self._transport.abort()
         else:
-            self.write(http1.answer(503, [], b"", close=True))
+            self.write(http1.response(503, [], b"", close=True))
             self._transport.close()
 
     def write(self, data: bytes) -> None:
--- a/lupinlink/lab/load.py
+++ b/lupinlink/lab/load.py
@@ -157,15 +157,15 @@
             while (message := self._parser.next()) is not None:
                 self._offer(self, message)
         except http1.MessageError as exc:
-            self.answer(http1.answer(exc.status, [], b"", close=True))
+            self.answer(http1.response(exc.status, [], b"", close=True))
 
     def answer(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
 
-OK = http1.answer(200, [], b"ok", close=False)
-FULL = http1.answer(503, [("X-Never-Ran", "1")], b"", close=False)
+OK = http1.response(200, [], b"ok", close=False)
+FULL = http1.response(503, [("X-Never-Ran", "1")], b"", close=False)
 
 
 def stand(port: int, work_ms: float, machine: Machine, seed: int, ready: Callable[[int], None]) -> int:
--- a/lupinlink/lab/operations.py
+++ b/lupinlink/lab/operations.py
@@ -249,13 +249,13 @@
                     await writer.drain()
             else:
                 writer.write(f"GET /look/{BULK_BYTES} HTTP/1.1\r\n{head}\r\n".encode())
-            parser, got = http1.AnswerParser(http1.MAX_MESSAGE), 0
+            parser, got = http1.ResponseParser(http1.MAX_MESSAGE), 0
             while data := await reader.read(1 << 16):
                 parser.feed(data)
                 message = parser.next()
                 if message is not None:
                     return message.status == 200 and (up or got + len(message.body) == BULK_BYTES)
-                got += len(parser.drain())
+                got += len(parser.take_body())
         except OSError:
             pass
         finally:
@@ -297,12 +297,12 @@
             while data := await reader.read(1 << 16):
                 parser.feed(data)
                 message = parser.next()
-                parser.drain()
+                parser.take_body()
                 if message is None:
                     continue
                 size = int(message.target.rpartition("/")[2])
                 await asyncio.sleep(self._random.uniform(*WORK_S))
-                writer.write(http1.answer_head(200, [], size, close=False))
+                writer.write(http1.response_head(200, [], size, close=False))
                 for at in range(0, size, len(BLOCK)):
                     writer.write(BLOCK[: size - at])
                     await writer.drain()
@@ -312,7 +312,7 @@
         """Discovery: nothing ever changes."""
         with suppress(OSError, asyncio.CancelledError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(http1.answer_head(200, [], http1.CHUNKED, close=False))
+            writer.write(http1.response_head(200, [], http1.CHUNKED, close=False))
             while not writer.is_closing():
                 writer.write(http1.chunk(b"\n"))
                 await writer.drain()
--- a/lupinlink/lab/virtual.py
+++ b/lupinlink/lab/virtual.py
@@ -45,7 +45,7 @@
     __slots__ = ("ended", "job", "number", "over", "place", "server", "side", "timer", "try_name")
 
     def __init__(self, side: Servers, place: Place, try_name: str) -> None:
-        self.ended: Deferred[net.AttemptEnd] = Deferred()
+        self.ended: Deferred[net.AttemptResult] = Deferred()
         self.side, self.place, self.try_name = side, place, try_name
         self.server: Server | None = None  # the process that it is out at
         self.job: Job | None = None
@@ -57,13 +57,13 @@
         """The proxy closes its connection."""
         if not self.over:
             self.side.given_up(self)
-            self.finish(net.AttemptEnd(status))
+            self.finish(net.AttemptResult(status))
 
-    def recall(self) -> None:
+    def cancel_if_unsent(self) -> None:
         if self.number < 0:
             self.give_up(Status.NOT_SENT)
 
-    def finish(self, end: net.AttemptEnd) -> None:
+    def finish(self, end: net.AttemptResult) -> None:
         self.over = True
         self.side.out.pop(self, None)
         self.side.world.clock.drop(self.timer)
@@ -81,7 +81,7 @@
         self._idle_ms = world.scenario.network.idle_close_ms * IDLE_SHARE
         self._network = world.scenario.network
 
-    def start(self, server: str, call: net.Call, timeout_ms: float, *last_look: object) -> VirtualAttempt:
+    def start(self, server: str, call: net.ClientRequest, timeout_ms: float, *args: object) -> VirtualAttempt:
         """An attempt goes out as soon as it has a connection."""
         world = self.world
         place = world.farm.places[server]
@@ -99,9 +99,9 @@
         self._dial(attempt, process, lambda: self._send(attempt, process))
         return attempt
 
-    def probe(self, server: str) -> Deferred[net.AttemptEnd]:
+    def probe(self, server: str) -> Deferred[net.AttemptResult]:
         """Ask a server for its load report."""
-        world, ended = self.world, Deferred[net.AttemptEnd]()
+        world, ended = self.world, Deferred[net.AttemptResult]()
         place = world.farm.places[server]
         process = place.server
         world.referee.probed()
@@ -112,16 +112,16 @@
             if process.alive and not deaf:
                 process.overhead(process.machine.probe_work_ms)
                 back = world.ways.between(self.zone, place.zone)
-                end = net.AttemptEnd(Status.OK, None, _report(process.report()))
+                end = net.AttemptResult(Status.OK, None, _report(process.report()))
                 world.clock.at(world.clock.now() + back, partial(finish, end))
 
-        def finish(end: net.AttemptEnd) -> None:
+        def finish(end: net.AttemptResult) -> None:
             if not ended.called:
                 ended.callback(end)
 
         world.clock.at(world.clock.now() + there, asked)
         limit = self._network.dial_timeout_ms + 2.0 * there
-        world.clock.at(world.clock.now() + limit, partial(finish, net.AttemptEnd(Status.TIMEOUT)))
+        world.clock.at(world.clock.now() + limit, partial(finish, net.AttemptResult(Status.TIMEOUT)))
         return ended
 
     def _dial(self, attempt: VirtualAttempt, process: Server, made: Callable[[], None]) -> None:
@@ -153,7 +153,7 @@
 
     def _unreached(self, attempt: VirtualAttempt) -> None:
         if not attempt.over:
-            attempt.finish(net.AttemptEnd(Status.UNREACHABLE))
+            attempt.finish(net.AttemptResult(Status.UNREACHABLE))
 
     def _send(self, attempt: VirtualAttempt, process: Server) -> None:
         world, place = self.world, attempt.place
@@ -173,7 +173,7 @@
         world.referee.arrived(name, attempt.number, now)
         want = ask.want
         if process.troubles.resets > 0.0 and self._chance.even() < process.troubles.resets:
-            self._back(attempt, process, net.AttemptEnd(Status.RESET), End.RESET)
+            self._back(attempt, process, net.AttemptResult(Status.RESET), End.RESET)
             return
         noise = world.scenario.load.work_noise
         work = want.work_ms
@@ -188,17 +188,17 @@
         told = _report(report) if self.world.scenario.rules.reports else None
         if how is Ending.SERVED:
             body = attempt.try_name.encode()
-            end = net.AttemptEnd(Status.OK, net.Reply([], body), told)
+            end = net.AttemptResult(Status.OK, net.Reply([], body), told)
             self._back(attempt, process, end, End.SERVED)
         elif how in NEVER_RUN:
-            self._back(attempt, process, net.AttemptEnd(Status.OVERLOADED, None, told), End.NEVER_RAN)
+            self._back(attempt, process, net.AttemptResult(Status.OVERLOADED, None, told), End.NEVER_RAN)
         elif how is Ending.SPOILT:
-            self._back(attempt, process, net.AttemptEnd(Status.RESET), End.ERROR, reuse=False)
+            self._back(attempt, process, net.AttemptResult(Status.RESET), End.ERROR, reuse=False)
         else:
-            self._back(attempt, process, net.AttemptEnd(Status.ERROR, None, told), End.ERROR)
+            self._back(attempt, process, net.AttemptResult(Status.ERROR, None, told), End.ERROR)
 
     def _back(
-        self, attempt: VirtualAttempt, process: Server, end: net.AttemptEnd, how: End, reuse: bool = True
+        self, attempt: VirtualAttempt, process: Server, end: net.AttemptResult, how: End, reuse: bool = True
     ) -> None:
         """An answer, or a reset, is on its way to the proxy."""
         world = self.world
@@ -255,7 +255,7 @@
         if not attempt.over:
             world = self.world
             world.referee.ended(attempt.try_name, attempt.number, world.clock.now(), End.RESET)
-            attempt.finish(net.AttemptEnd(Status.RESET))
+            attempt.finish(net.AttemptResult(Status.RESET))
 
     def sweep(self, now: float) -> None:
         """Close what has been idle for long."""
@@ -291,7 +291,7 @@
     def refused(self, retry_after_ms: float, over_quota: bool = False) -> None:
         self._answer(Reply.REFUSED, retry_after_ms)
 
-    def failed(self, why: net.Failure) -> None:
+    def failed(self, why: net.FailureReason) -> None:
         self._answer(Reply.FAILED, 0.0)
 
     def _answer(self, what: Reply, retry_after_ms: float, made_for: str = "") -> None:
@@ -391,7 +391,7 @@
         self.asks[name] = ask
         self._agents[name] = agent
         names = list(cls)
-        call = net.Call(
+        call = net.ClientRequest(
             name, ask.want.class_index, ask.want.member, ask.deadline - now, ask.is_retry, "GET",
             f"/{names[ask.want.class_index]}/{ask.want.key}", [], Body.of(b""), str(ask.want.key),
         )  # fmt: skip
--- a/lupinlink/net/application_servers/attempts.py
+++ b/lupinlink/net/application_servers/attempts.py
@@ -11,13 +11,13 @@
 from lupinlink.interface import Status
 from lupinlink.net.bodies import Body
 from lupinlink.net.counters import Counters
+from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.slots import Slots
-from lupinlink.net.terms import AttemptEnd
 from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import Settings
 
 
-class Servers(Protocol):
+class ServerPools(Protocol):
     """All application servers' connections, as one attempt or connection sees them."""
 
     clock: Clockwork
@@ -28,14 +28,14 @@
     read_waiting_news: Callable[[], bool]  # reads discovery's news; whether some of it has not come whole
 
 
-class Carrier(Protocol):
+class AttemptConnection(Protocol):
     """The connection that an attempt travels on."""
 
     def drop(self) -> None: ...
     def catch_up(self) -> None: ...
 
 
-class Way(Protocol):
+class PendingConnection(Protocol):
     """A connection on its way up for an attempt."""
 
     def abandon(self) -> None: ...
@@ -46,20 +46,25 @@
 
     def __init__(
         self,
-        servers: Servers,
+        servers: ServerPools,
         server: str,
-        compose: Callable[[float], tuple[bytes, Body | None]],
+        encode_request: Callable[[float], tuple[bytes, Body | None]],
         until_ms: float,
         begin_by_ms: float = math.inf,
         wanted: Callable[[], bool] = lambda: True,
         only_head: bool = False,
     ) -> None:
         """``compose``: the request, for the time left by then; ``wanted``: whether anyone waits for it."""
-        self.ended: Deferred[AttemptEnd] = Deferred()
+        self.ended: Deferred[AttemptResult] = Deferred()
         self.server, self.only_head = server, only_head
-        self._compose, self._until, self._begin_by, self._wanted = compose, until_ms, begin_by_ms, wanted
-        self.connection: Carrier | None = None
-        self.dial: Way | None = None
+        self._compose, self._until, self._begin_by, self._wanted = (
+            encode_request,
+            until_ms,
+            begin_by_ms,
+            wanted,
+        )
+        self.connection: AttemptConnection | None = None
+        self.dial: PendingConnection | None = None
         self._servers = servers
         self._open = True
         self._deadline = servers.clock.at(until_ms, lambda: self.give_up(Status.TIMEOUT))
@@ -82,14 +87,14 @@
         """What is to be written now."""
         return self._compose(self._until - self._servers.clock.now())
 
-    def end_by(self, at_ms: float) -> None:
+    def set_deadline(self, at_ms: float) -> None:
         """Another time to stop waiting at."""
         if self._open:
             self._until = at_ms
             self._servers.clock.drop(self._deadline)
             self._deadline = self._servers.clock.at(at_ms, lambda: self.give_up(Status.TIMEOUT))
 
-    def end(self, end: AttemptEnd) -> None:
+    def end(self, end: AttemptResult) -> None:
         """The outcome; later ones find nothing to end."""
         if self._open:
             self._open = False
@@ -111,9 +116,9 @@
             dial.abandon()
         if connection is not None:
             connection.drop()
-        self.end(AttemptEnd(status))
+        self.end(AttemptResult(status))
 
-    def recall(self) -> None:
+    def cancel_if_unsent(self) -> None:
         """End it if its connection is still on its way up: nothing of it was written, nor will be."""
         if self.dial is not None:
             self.give_up(Status.NOT_SENT)
--- a/lupinlink/net/application_servers/connection.py
+++ b/lupinlink/net/application_servers/connection.py
@@ -10,12 +10,12 @@
 
 from lupinlink.interface import Status
 from lupinlink.net import http1
-from lupinlink.net.application_servers.attempts import Attempt, Servers
+from lupinlink.net.application_servers.attempts import Attempt, ServerPools
 from lupinlink.net.application_servers.outcomes import kept, outcome, read_report
 from lupinlink.net.application_servers.pool import Pool
-from lupinlink.net.application_servers.sending import Opening, Sending
-from lupinlink.net.bodies import SMALL_BYTES, Flow
-from lupinlink.net.terms import AttemptEnd, Reply
+from lupinlink.net.application_servers.sending import ConnectionOpener, SendingConnection
+from lupinlink.net.bodies import SMALL_BYTES, ResponseStream
+from lupinlink.net.request_types import AttemptResult, Reply
 from lupinlink.net.typed import READ_BYTES
 
 log = logging.getLogger("lupinlink.net.application_servers")
@@ -29,12 +29,12 @@
 FLOW_READ_BYTES = 64 * 1024
 
 
-class Connection(Sending):
+class Connection(SendingConnection):
     """Both directions of it."""
 
-    def __init__(self, servers: Servers, pool: Pool, dial: Opening) -> None:
+    def __init__(self, servers: ServerPools, pool: Pool, dial: ConnectionOpener) -> None:
         super().__init__(servers, pool, dial)
-        self._flow: Flow | None = None  # the answer that is being passed on as it comes
+        self._flow: ResponseStream | None = None  # the answer that is being passed on as it comes
         self._heard_at = 0.0
 
     def dataReceived(self, data: bytes) -> None:
@@ -53,7 +53,7 @@
             if self._flow is not None:
                 self._end_flow(None)
             else:
-                self._finish(AttemptEnd(Status.RESET if self._written else Status.NOT_SENT), reuse=False)
+                self._finish(AttemptResult(Status.RESET if self._written else Status.NOT_SENT), reuse=False)
             return
         if self._flow is not None:
             self._flowed(message)
@@ -61,11 +61,11 @@
             self._early(message)
         elif message is not None:
             end = outcome(message)
-            if self._parser.asked_for_head and end.reply is not None:
+            if self._parser.for_head_request and end.reply is not None:
                 length = message.get("content-length")
                 end.reply.length = int(length.partition(",")[0]) if length is not None else None
             self._finish(end, reuse=not self._parser.buffer and message.keeps_open())
-        elif self._parser.begun():
+        elif self._parser.started():
             self._settle()
             if self._ripe():
                 self._begin_flow()
@@ -78,11 +78,11 @@
 
         Only that it was turned away unseen says more than that. What is announced (1xx) changes nothing.
         """
-        if message is None and not self._parser.begun():
+        if message is None and not self._parser.started():
             return
         self._servers.counters["early_answers"] += 1
-        end = outcome(message) if message is not None else AttemptEnd(Status.NOT_SENT)
-        self._finish(end if end.status == Status.OVERLOADED else AttemptEnd(Status.NOT_SENT), reuse=False)
+        end = outcome(message) if message is not None else AttemptResult(Status.NOT_SENT)
+        self._finish(end if end.status == Status.OVERLOADED else AttemptResult(Status.NOT_SENT), reuse=False)
 
     def _ripe(self) -> bool:
         """Whether an answer is seen to be a long one that is worth passing on."""
@@ -90,21 +90,23 @@
         if head is None or head.status != 200:
             return False
         if length is None:
-            return self._parser.came > UNTOLD_BYTES
-        return length > SMALL_BYTES and self._parser.came >= FIRST_BYTES
+            return self._parser.body_received > UNTOLD_BYTES
+        return length > SMALL_BYTES and self._parser.body_received >= FIRST_BYTES
 
     def _begin_flow(self) -> None:
         """Pass the answer on as it comes. For its attempt that is the end; the connection stays busy."""
         head, attempt = self._parser.head, self._attempt
         assert head is not None and attempt is not None
         self._servers.counters["flows"] += 1
-        self._flow = flow = Flow(self._parser.length, self._hold_back, self._go_on, self._abandon_flow)
+        self._flow = flow = ResponseStream(
+            self._parser.length, self._hold_back, self._go_on, self._abandon_flow
+        )
         self._attempt, attempt.connection = None, None
         self._heard_at = self._servers.clock.now()
         self._whole_by = self._servers.clock.after(FLOW_LOOK_MS, lambda: self._look_at_flow(flow))
         self.transport.bufferSize = FLOW_READ_BYTES
         report = read_report(head.get("endpoint-load-metrics"))
-        attempt.end(AttemptEnd(Status.OK, Reply(kept(head), self._parser.drain(), self._flow), report))
+        attempt.end(AttemptResult(Status.OK, Reply(kept(head), self._parser.take_body(), self._flow), report))
 
     def _flowed(self, message: http1.Message | None) -> None:
         """More of the answer that is being passed on, or its end."""
@@ -113,7 +115,7 @@
         if message is not None:
             self._end_flow(message, reuse=not self._parser.buffer and message.keeps_open())
         else:
-            self._flow.data(self._parser.drain())
+            self._flow.data(self._parser.take_body())
 
     def _end_flow(self, message: http1.Message | None, reuse: bool = False) -> None:
         """``message``: holds the last bytes; None: it broke off."""
@@ -129,7 +131,7 @@
             flow.data(message.body)
             flow.ended()
 
-    def _look_at_flow(self, flow: Flow) -> None:
+    def _look_at_flow(self, flow: ResponseStream) -> None:
         if self._flow is not flow:
             return
         self._whole_by = None
@@ -155,7 +157,7 @@
     def _unfinished(self, attempt: Attempt | None) -> None:
         if attempt is not None and self._attempt is attempt:
             self._servers.counters["unfinished_answers"] += 1
-            self._finish(AttemptEnd(Status.RESET), reuse=False)
+            self._finish(AttemptResult(Status.RESET), reuse=False)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.pool.forget(self)
@@ -172,7 +174,7 @@
             if message is not None and self._written:
                 end = outcome(message)
             else:
-                end = AttemptEnd(Status.RESET if self._written else Status.UNREACHABLE)
+                end = AttemptResult(Status.RESET if self._written else Status.UNREACHABLE)
             attempt, self._attempt = self._attempt, None
             attempt.connection = None
             attempt.end(end)
--- a/lupinlink/net/application_servers/dialling.py
+++ b/lupinlink/net/application_servers/dialling.py
@@ -8,10 +8,10 @@
 from twisted.python.failure import Failure
 
 from lupinlink.interface import Status
-from lupinlink.net.application_servers.attempts import Attempt, Servers
+from lupinlink.net.application_servers.attempts import Attempt, ServerPools
 from lupinlink.net.application_servers.connection import Connection
-from lupinlink.net.application_servers.pool import Pool, Rested
-from lupinlink.net.terms import AttemptEnd
+from lupinlink.net.application_servers.pool import Pool, PooledConnection
+from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.typed import Connector, Reactor
 from lupinlink.net.wheel import Timer
 
@@ -21,7 +21,7 @@
 
     noisy = False
 
-    def __init__(self, servers: Servers, pool: Pool, attempt: Attempt) -> None:
+    def __init__(self, servers: ServerPools, pool: Pool, attempt: Attempt) -> None:
         self._servers, self.pool = servers, pool
         self._attempt: Attempt | None = attempt
         self._timer: Timer | None = None
@@ -43,7 +43,7 @@
         connection.handle = self._servers.connections.add(connection)
         return connection
 
-    def made(self, connection: Rested) -> None:
+    def made(self, connection: PooledConnection) -> None:
         """It is up."""
         self.pool.dialled(self._servers.clock.now() - self._began)
         attempt = self._settle()
@@ -58,7 +58,7 @@
         if attempt is not None:
             self._servers.counters["dials_failed"] += 1
             self.pool.dialled(why=reason.getErrorMessage())
-            attempt.end(AttemptEnd(Status.UNREACHABLE))
+            attempt.end(AttemptResult(Status.UNREACHABLE))
 
     def abandon(self) -> None:
         """Nobody waits for it any more."""
@@ -73,7 +73,7 @@
         if attempt is not None:
             self._servers.counters["dials_too_slow"] += 1
             self.pool.dialled(why="too slow")
-            attempt.end(AttemptEnd(Status.UNREACHABLE))
+            attempt.end(AttemptResult(Status.UNREACHABLE))
 
     def _settle(self) -> Attempt | None:
         attempt, self._attempt = self._attempt, None
--- a/lupinlink/net/application_servers/idle_connections.py
+++ b/lupinlink/net/application_servers/idle_connections.py
@@ -15,7 +15,7 @@
 BY_AGE = itemgetter(0, 1)  # idle since, then handle, which is never the same twice
 
 
-class Rested(Protocol):
+class PooledConnection(Protocol):
     """A connection that may stand idle."""
 
     handle: int
@@ -31,22 +31,22 @@
     """All of them, the one that has been idle longest first."""
 
     def __init__(self) -> None:
-        self._by_age: list[tuple[float, int, Rested]] = []
+        self._by_age: list[tuple[float, int, PooledConnection]] = []
 
     def __len__(self) -> int:
         return len(self._by_age)
 
-    def add(self, connection: Rested) -> None:
+    def add(self, connection: PooledConnection) -> None:
         """It stands idle; ``idle_since`` and ``handle`` stay as they are while it does."""
         insort(self._by_age, (connection.idle_since, connection.handle, connection), key=BY_AGE)
 
-    def remove(self, connection: Rested) -> None:
+    def remove(self, connection: PooledConnection) -> None:
         """It stands idle no longer, if it did."""
         place = bisect_left(self._by_age, (connection.idle_since, connection.handle), key=BY_AGE)
         if place < len(self._by_age) and self._by_age[place][2] is connection:
             del self._by_age[place]
 
-    def oldest(self, since: float = math.inf) -> Rested | None:
+    def oldest(self, since: float = math.inf) -> PooledConnection | None:
         """The one that has been idle longest, if that began at that time or before."""
         if not self._by_age or self._by_age[0][0] > since:
             return None
--- a/lupinlink/net/application_servers/outcomes.py
+++ b/lupinlink/net/application_servers/outcomes.py
@@ -6,7 +6,7 @@
 
 from lupinlink.interface import Status
 from lupinlink.net import http1
-from lupinlink.net.terms import AttemptEnd, Reply
+from lupinlink.net.request_types import AttemptResult, Reply
 from lupinlink.settings import SOCKET_FIELDS
 
 MOST_BUSY, MOST_FIGURE, MOST_REPORT = 16.0, 1e6, 1024  # beyond these a load report is noise
@@ -36,13 +36,13 @@
     return [(n, v) for n, v in message.headers if n.lower() in KEPT]
 
 
-def outcome(message: http1.Message) -> AttemptEnd:
+def outcome(message: http1.Message) -> AttemptResult:
     """What an answer says of the attempt."""
     report = read_report(message.get("endpoint-load-metrics"))
     if message.status == 200:
-        return AttemptEnd(Status.OK, Reply(kept(message), message.body), report)
+        return AttemptResult(Status.OK, Reply(kept(message), message.body), report)
     if message.status in (503, 504) and message.get("x-never-ran") == "1":
-        return AttemptEnd(Status.OVERLOADED, None, report)
+        return AttemptResult(Status.OVERLOADED, None, report)
     if 400 <= message.status < 500 and message.status not in (408, 429):
-        return AttemptEnd(Status.REJECTED, None, report)
-    return AttemptEnd(Status.ERROR, None, report)  # it may have run
+        return AttemptResult(Status.REJECTED, None, report)
+    return AttemptResult(Status.ERROR, None, report)  # it may have run
--- a/lupinlink/net/application_servers/pool.py
+++ b/lupinlink/net/application_servers/pool.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from lupinlink.net.application_servers.idle_connections import IdleConnections
-from lupinlink.net.application_servers.idle_connections import Rested as Rested
+from lupinlink.net.application_servers.idle_connections import PooledConnection as PooledConnection
 
 log = logging.getLogger("lupinlink.net.application_servers")
 SENT_LATELY_MS = 10_000.0  # neither: of others nobody asks
@@ -26,7 +26,7 @@
     trip_ms: float = math.inf  # there and back: of the connection that came up quickest
     reached: bool = True  # whether the last connection came up; its changes are logged, not each failure
     sent_at: float = -math.inf  # the first byte of the last request
-    idle: list[Rested] = field(default_factory=list)  # the most recently used last
+    idle: list[PooledConnection] = field(default_factory=list)  # the most recently used last
 
     def dialled(self, took_ms: float = math.inf, why: str = "") -> None:
         """A connection came up in that time, or did not and why."""
@@ -42,18 +42,18 @@
             kv = {"server": self.name, "sent_ms_ago": int(now - self.sent_at)}
             log.info("backend leaves service", extra={"kv": kv})
 
-    def rest(self, connection: Rested) -> None:
+    def rest(self, connection: PooledConnection) -> None:
         """It stands idle from now on."""
         self.idle.append(connection)
         self.all_idle.add(connection)
 
-    def take(self) -> Rested:
+    def take(self) -> PooledConnection:
         """The one that was used last; there has to be one."""
         connection = self.idle.pop()
         self.all_idle.remove(connection)
         return connection
 
-    def forget(self, connection: Rested) -> None:
+    def forget(self, connection: PooledConnection) -> None:
         """It stands idle no longer, if it did."""
         if connection in self.idle:
             self.idle.remove(connection)
--- a/lupinlink/net/application_servers/pools.py
+++ b/lupinlink/net/application_servers/pools.py
@@ -10,14 +10,14 @@
 from lupinlink.interface import Endpoint, EndpointState, Status
 from lupinlink.net import http1
 from lupinlink.net.application_servers.attempts import Attempt
-from lupinlink.net.application_servers.composing import compose
 from lupinlink.net.application_servers.dialling import Dial
 from lupinlink.net.application_servers.idle_connections import IdleConnections
 from lupinlink.net.application_servers.outcomes import read_report
 from lupinlink.net.application_servers.pool import Pool
+from lupinlink.net.application_servers.request_encoding import encode_request
 from lupinlink.net.counters import Counters
+from lupinlink.net.request_types import AttemptResult, ClientRequest
 from lupinlink.net.slots import Slots
-from lupinlink.net.terms import AttemptEnd, Call
 from lupinlink.net.typed import Reactor
 from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import Settings
@@ -54,7 +54,7 @@
         while len(self.connections) > cap and self._evict():
             pass
 
-    def learn(self, rows: list[tuple[Endpoint, str, int]], full: bool) -> None:
+    def update_list(self, rows: list[tuple[Endpoint, str, int]], full: bool) -> None:
         """Discovery's list: a new process under a known name, or a new address, voids the old pool."""
         named = {row.name for row, _, _ in rows}
         for row, host, port in rows:
@@ -78,16 +78,21 @@
             pool.void()
 
     def start(
-        self, server: str, call: Call, timeout_ms: float, begin_by_ms: float, wanted: Callable[[], bool]
+        self,
+        server: str,
+        call: ClientRequest,
+        timeout_ms: float,
+        begin_by_ms: float,
+        wanted: Callable[[], bool],
     ) -> Attempt:
         """Send an attempt on an idle connection, or on a new one."""
         pool = self._pools.get(server)
         host = f"{pool.host}:{pool.port}" if pool is not None else server
         until = self.clock.now() + timeout_ms
-        request = partial(compose, call, host)
+        request = partial(encode_request, call, host)
         return self._send(Attempt(self, server, request, until, begin_by_ms, wanted, call.method == "HEAD"))
 
-    def probe(self, server: str) -> Deferred[AttemptEnd]:
+    def probe(self, server: str) -> Deferred[AttemptResult]:
         """Ask an application server how it fares."""
         target = "/metrics/load" if self.settings.reports_in_probes else "/alive"
         data = http1.request("GET", target, [("Host", server)])
@@ -95,7 +100,7 @@
         return self._send(attempt).ended.addCallback(self._probed)
 
     @staticmethod
-    def _probed(end: AttemptEnd) -> AttemptEnd:
+    def _probed(end: AttemptResult) -> AttemptResult:
         if end.reply is not None and end.reply.flow is not None:
             end.reply.flow.stop()
         if end.reply is not None and end.report is None:
@@ -105,7 +110,7 @@
     def _send(self, attempt: Attempt) -> Attempt:
         pool, now = self._pools.get(attempt.server), self.clock.now()
         if pool is None or not pool.current:
-            attempt.end(AttemptEnd(Status.NOT_SENT))
+            attempt.end(AttemptResult(Status.NOT_SENT))
             return attempt
         while pool.idle:
             connection = pool.take()
@@ -115,13 +120,13 @@
                 return attempt
             connection.drop()
         if not attempt.may_begin(0.0):
-            attempt.end(AttemptEnd(Status.NOT_SENT))
+            attempt.end(AttemptResult(Status.NOT_SENT))
             return attempt
         if self.connections.full:
             self._evict()
         if self.connections.full:
             self.counters["attempts_over_cap"] += 1
-            attempt.end(AttemptEnd(Status.NOT_SENT))
+            attempt.end(AttemptResult(Status.NOT_SENT))
             return attempt
         self.counters["connections_opened"] += 1
         attempt.dial = Dial(self, pool, attempt)
@@ -150,13 +155,13 @@
         return {"server_connections_now": len(self.connections), "server_connections_idle": len(self._idle),
                 "pools": len(self._pools)}  # fmt: skip
 
-    def busy(self) -> set[str]:
+    def busy_servers(self) -> set[str]:
         """Application servers with a request from here, or a connection that is on its way up for one."""
         resting = {id(one) for pool in self._pools.values() for one in pool.idle}
         pools = (getattr(one, "pool", None) for one in self.connections if id(one) not in resting)
         return {pool.name for pool in pools if isinstance(pool, Pool)}
 
-    def reached(self, server: str) -> bool:
+    def is_reachable(self, server: str) -> bool:
         """Whether the last connection to it came up; True before the first."""
         pool = self._pools.get(server)
         return pool is None or pool.reached
--- a/lupinlink/net/application_servers/composing.py
+++ b/lupinlink/net/application_servers/request_encoding.py
@@ -4,12 +4,12 @@
 
 from lupinlink.net import http1
 from lupinlink.net.bodies import SMALL_BYTES, Body
-from lupinlink.net.terms import Call
+from lupinlink.net.request_types import ClientRequest
 
 REPLACED = ("x-expires-in-ms", "host")
 
 
-def compose(call: Call, host: str, left_ms: float) -> tuple[bytes, Body | None]:
+def encode_request(call: ClientRequest, host: str, left_ms: float) -> tuple[bytes, Body | None]:
     """What goes out first, and the body that follows it as it comes: None where all of it is in the first."""
     body = call.body
     headers = [(n, v) for n, v in call.headers if n.lower() not in REPLACED]
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -12,11 +12,11 @@
 
 from lupinlink.interface import Status
 from lupinlink.net import http1
-from lupinlink.net.application_servers.attempts import Attempt, Servers
-from lupinlink.net.application_servers.pool import Pool, Rested
+from lupinlink.net.application_servers.attempts import Attempt, ServerPools
+from lupinlink.net.application_servers.pool import Pool, PooledConnection
 from lupinlink.net.bodies import SMALL_BYTES, Body
+from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.socket_peek import peek
-from lupinlink.net.terms import AttemptEnd
 from lupinlink.net.typed import READ_BYTES, Transport
 from lupinlink.net.wheel import Timer
 
@@ -25,14 +25,14 @@
 EARLY_READS = 4  # at most, of what a server announces (1xx) before it was asked
 
 
-class Opening(Protocol):
+class ConnectionOpener(Protocol):
     """What brought a connection up."""
 
-    def made(self, connection: Rested) -> None: ...
+    def made(self, connection: PooledConnection) -> None: ...
 
 
 @implementer(IPullProducer)
-class Sending(TcpProtocol):
+class SendingConnection(TcpProtocol):
     """One connection to an application server: one attempt at a time, idle in its pool between.
 
     As a pull producer it learns when the kernel has taken a request's last byte: a break before that
@@ -41,10 +41,10 @@
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, servers: Servers, pool: Pool, dial: Opening) -> None:
+    def __init__(self, servers: ServerPools, pool: Pool, dial: ConnectionOpener) -> None:
         self._servers, self.pool, self._dial = servers, pool, dial
         self._attempt: Attempt | None = None
-        self._parser = http1.AnswerParser(http1.MAX_MESSAGE)
+        self._parser = http1.ResponseParser(http1.MAX_MESSAGE)
         self._unsent: bytes | None = None
         self._body: Body | None = None  # of the request, while some of it is still to be sent
         self._sent = 0  # bytes of it that have gone out
@@ -82,7 +82,7 @@
         self._attempt, attempt.connection = attempt, self
         self._unsent, self._body = unsent, body
         self._written, self._sent, self._starved = False, 0, False
-        self._parser.asked_for_head = attempt.only_head
+        self._parser.for_head_request = attempt.only_head
         if self._body is not None:
             self._body.more = self._more
         if not self._ends_unasked():
@@ -107,7 +107,7 @@
         """End an attempt of which no byte may go out any more; its connection rests again."""
         self._servers.counters["attempts_not_begun"] += 1
         self._rest(reuse=True, used=False)
-        attempt.end(AttemptEnd(Status.NOT_SENT))
+        attempt.end(AttemptResult(Status.NOT_SENT))
 
     def _write_now(self) -> None:
         """Hand the request to the kernel in this call; what it does not take now goes as it has room.
@@ -147,7 +147,7 @@
         assert body is not None
         if body.broken:
             # Its end is never to be written, so it never runs.
-            self._finish(AttemptEnd(Status.NOT_SENT), reuse=False)
+            self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
             return
         data = body.read(self._sent, WRITE_BYTES)
         self._sent += len(data)
@@ -172,7 +172,7 @@
         # Timers that come due together all run: by now it may carry another.
         if attempt is not None and self._attempt is attempt and not self._written:
             self._servers.counters["uploads_stalled"] += 1
-            self._finish(AttemptEnd(Status.NOT_SENT), reuse=False)
+            self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
 
     def stopProducing(self) -> None:
         pass  # connectionLost follows
@@ -208,7 +208,7 @@
             self._whole_by.drop()
             self._whole_by = None
 
-    def _finish(self, end: AttemptEnd, reuse: bool) -> None:
+    def _finish(self, end: AttemptResult, reuse: bool) -> None:
         self._settle()
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
--- a/lupinlink/net/bodies.py
+++ b/lupinlink/net/bodies.py
@@ -11,7 +11,7 @@
 WINDOW_BYTES = 128 * 1024  # held of a body that flows through; its sender waits beyond
 
 
-class Budget:
+class BodyBudget:
     """Bytes that all bodies together may hold."""
 
     def __init__(self, most: int) -> None:
@@ -46,7 +46,7 @@
         "whole",
     )
 
-    def __init__(self, budget: Budget, length: int | None) -> None:
+    def __init__(self, budget: BodyBudget, length: int | None) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
         self.length = length  # as its head tells; None: not told
@@ -57,9 +57,9 @@
         self.committed: Callable[[], None] | None = None
 
     @classmethod
-    def of(cls, data: bytes, budget: Budget | None = None) -> Body:
+    def of(cls, data: bytes, budget: BodyBudget | None = None) -> Body:
         """A body that is here already."""
-        body = cls(budget or Budget(0), len(data))
+        body = cls(budget or BodyBudget(0), len(data))
         body.add(data)
         body.finish()
         return body
@@ -140,7 +140,7 @@
         self.more = self.room = self.committed = None
 
 
-class Flow:
+class ResponseStream:
     """An answer that is passed on as it comes: from an attempt to a client, which may hold it back.
 
     ``length``: of the whole body, where it is known. The attempt gives ``pause``, ``resume``, ``stop``; the
--- a/lupinlink/net/leavers.py
+++ b/lupinlink/net/client_drain.py
@@ -9,7 +9,7 @@
 CHECK_MS = 20.0  # how often connections are looked through while they are to go
 
 
-class Leavers:
+class ClientDrain:
     """The lifecycle says who goes when; ``leave`` is called once the process may end."""
 
     def __init__(self, parts: Parts, leave: Callable[[], None]) -> None:
@@ -33,7 +33,7 @@
         if state.last_call(now):
             self._proxy.end_all()
         if now >= state.idle_from():
-            self._clients.close_idle(unasked=state.stopping)
+            self._clients.close_idle(include_new=state.stopping)
         # Danger: who waits in the kernel's queue is taken already, as clients see it, and a close resets it.
         left = len(self._clients.connections) + self._proxy.open + self._clients.queued
         if state.may_leave(now, left):
--- a/lupinlink/net/clients/__init__.py
+++ b/lupinlink/net/clients/__init__.py
@@ -1,7 +1,7 @@
 """Clients: the listener and the HTTP/1.1 that clients speak with it."""
 
-from lupinlink.net.clients.accepting import Clients, Listener
+from lupinlink.net.clients.listener import Clients, Listener
 from lupinlink.net.clients.phases import Phase
-from lupinlink.net.clients.requests import Client
+from lupinlink.net.clients.requests import Http1ClientConnection
 
-__all__ = ["Client", "Clients", "Listener", "Phase"]
+__all__ = ["Clients", "Http1ClientConnection", "Listener", "Phase"]
--- a/lupinlink/net/clients/peer.py
+++ b/lupinlink/net/clients/connection.py
@@ -15,12 +15,12 @@
 from lupinlink.limits.progress import FIRST_HEAD_MS, HEAD_MS, Progress
 from lupinlink.limits.returns import Rest
 from lupinlink.net import http1
-from lupinlink.net.bodies import Budget
+from lupinlink.net.bodies import BodyBudget
 from lupinlink.net.clients.phases import Phase
 from lupinlink.net.counters import Counters
 from lupinlink.net.proxy import Proxy
+from lupinlink.net.request_types import ClientRequest
 from lupinlink.net.socket_peek import peek
-from lupinlink.net.terms import Call
 from lupinlink.net.typed import READ_BYTES, Transport, unsent
 from lupinlink.net.wheel import Clockwork
 
@@ -29,53 +29,53 @@
 
 
 @dataclass(slots=True)
-class Intake:
+class IncomingRequest:
     """A request whose body is on its way."""
 
-    call: Call
+    call: ClientRequest
     progress: Progress
 
 
-class Crowd(Protocol):
+class ConnectionOwner(Protocol):
     """What holds all connections, as one of them sees it."""
 
     proxy: Proxy
     clock: Clockwork
     counters: Counters
-    budget: Budget  # for all bodies on their way in
-    flowing: dict[Peer, None]  # answers are being passed on to these
-    receiving: dict[Peer, None]  # their requests are with the decisions before their end
+    budget: BodyBudget  # for all bodies on their way in
+    streaming: dict[ClientConnection, None]  # answers are being passed on to these
+    uploading: dict[ClientConnection, None]  # their requests are with the decisions before their end
 
     @property
     def ready(self) -> bool:
         """Whether a front should send clients here."""
 
-    def read(self, message: http1.Message, path: str) -> Call:
+    def read(self, message: http1.Message, path: str) -> ClientRequest:
         """A request in the terms of the decisions; raises MessageError for what cannot be put so."""
 
-    def enter(self, client: Peer, phase: Phase | None, anew: bool = False) -> None:
+    def enter(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
         """A connection's phase begins, or begins ``anew``; None: it has ended."""
 
-    def keeps(self, client: Peer) -> bool:
+    def keeps(self, client: ClientConnection) -> bool:
         """Whether a connection that has its answer stays."""
 
-    def lost(self, client: Peer) -> None:
+    def lost(self, client: ClientConnection) -> None:
         """A connection has ended."""
 
 
-class Peer(Connection):
+class ClientConnection(Connection):
     """One connection, whatever is said on it."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, clients: Crowd) -> None:
+    def __init__(self, clients: ConnectionOwner) -> None:
         self._clients = clients
         self._parser = http1.RequestParser(http1.MAX_MESSAGE)
-        self._intake: Intake | None = None
-        self._deaf = self._choked = False
+        self._intake: IncomingRequest | None = None
+        self._deaf = self._not_reading = False
         self._unread: set[str] = set()  # why it is not read
         self._left = math.inf  # bytes still to be read by a peer that is to go, at the last look
-        self.choked_at = 0.0
+        self.not_reading_since = 0.0
         self.phase: Phase | None = None
         self.since = 0.0  # when the phase began
         self.made_at = self.heard_at = clients.clock.now()
@@ -85,7 +85,7 @@
         self.handle = 0
         self.held_ms = 0.0  # how long its first request may have waited unread; inf: not known
 
-    def to_go(self) -> tuple[int, int]:
+    def bytes_to_go(self) -> tuple[int, int]:
         """Bytes still to go of a long answer or of a body that comes, and how many of both do not tell."""
         raise NotImplementedError
 
@@ -124,16 +124,16 @@
     @property
     def begun(self) -> bool:
         """Whether a part of a request is here."""
-        return self._parser.begun()
+        return self._parser.started()
 
     def stuck(self, now: float) -> bool:
         """Whether it does not read the answer that is passed on to it."""
-        return self._choked and now - self.choked_at > UNREAD_MS
+        return self._not_reading and now - self.not_reading_since > UNREAD_MS
 
     @property
-    def choked(self) -> bool:
+    def not_reading(self) -> bool:
         """Whether it does not read at the moment."""
-        return self._choked
+        return self._not_reading
 
     def late(self, now: float) -> bool:
         """Whether the request that it is sending does not get on."""
@@ -153,7 +153,7 @@
         elif self.phase is Phase.CLOSING:
             # No reset, which could overtake the answer: our side has ended already, now the other does.
             self.transport.loseConnection()
-        elif self._parser.begun():
+        elif self._parser.started():
             self.reject(408, "request did not arrive")
         else:
             self.close()
@@ -172,7 +172,7 @@
         """Answer what is no proper request, and take nothing more from this connection."""
         self._clients.counters[f"rejected_{status}"] += 1
         text = [("Content-Type", "text/plain")]
-        self.transport.write(http1.answer(status, text, f"{why}\n".encode(), close=True))
+        self.transport.write(http1.response(status, text, f"{why}\n".encode(), close=True))
         self.close()
 
     def close(self) -> None:
--- a/lupinlink/net/clients/places.py
+++ b/lupinlink/net/clients/connection_table.py
@@ -5,7 +5,7 @@
 from itertools import islice
 
 from lupinlink.limits.returns import Ended, Returns, price
-from lupinlink.net.clients.peer import Peer
+from lupinlink.net.clients.connection import ClientConnection
 from lupinlink.net.clients.phases import Phase
 from lupinlink.net.counters import Counters
 from lupinlink.net.slots import Slots
@@ -14,18 +14,20 @@
 PEEKS = 8  # connections looked at to make room for one
 
 
-class Places:
+class ConnectionTable:
     """Every connection, by phase in order of time, under one cap."""
 
     def __init__(self, cap: int, clock: Clockwork, counters: Counters) -> None:
         self._clock, self._counters = clock, counters
-        self.connections: Slots[Peer] = Slots(cap)
-        self.phases: dict[Phase, dict[Peer, None]] = {phase: {} for phase in Phase}
-        self.flowing: dict[Peer, None] = {}  # answers are being passed on to these
-        self.receiving: dict[Peer, None] = {}  # their requests are with the decisions before their end
+        self.connections: Slots[ClientConnection] = Slots(cap)
+        self.phases: dict[Phase, dict[ClientConnection, None]] = {phase: {} for phase in Phase}
+        self.streaming: dict[ClientConnection, None] = {}  # answers are being passed on to these
+        self.uploading: dict[
+            ClientConnection, None
+        ] = {}  # their requests are with the decisions before their end
         self._returns = Returns(cap)
 
-    def enter(self, client: Peer, phase: Phase | None, anew: bool = False) -> None:
+    def enter(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
         """A connection's phase begins, or begins ``anew``; None: it has ended."""
         if client.phase is phase and not anew:
             return
@@ -48,15 +50,15 @@
         used = sum(len(self.phases[phase]) for phase in (Phase.OPEN, Phase.RESTING, Phase.HEAD, Phase.BODY))
         return used / self.connections.capacity
 
-    def worth_keeping(self, client: Peer) -> bool:
+    def worth_keeping(self, client: ClientConnection) -> bool:
         """Whether a connection that has its answer is worth its place."""
         return self._returns.worth_keeping(client.address, self.taken)
 
-    def forget(self, client: Peer) -> None:
+    def forget(self, client: ClientConnection) -> None:
         """A connection has ended."""
         self.connections.remove(client.handle)
         self.enter(client, None)
-        self.receiving.pop(client, None)
+        self.uploading.pop(client, None)
 
     def make_room(self) -> bool:
         """Who has stood longest where nothing is expected any more goes; nothing here looks at them all.
@@ -80,7 +82,7 @@
                 return True
         return False
 
-    def _gives_way(self, client: Peer) -> bool:
+    def _gives_way(self, client: ClientConnection) -> bool:
         if client.unread():
             return False
         client.make_way()
@@ -89,9 +91,9 @@
         self._counters["made_room"] += freed
         return freed
 
-    def close_idle(self, unasked: bool) -> None:
+    def close_idle(self, include_new: bool) -> None:
         """Close what is between requests; ``unasked``: also who has not asked anything yet."""
-        for phase in (Phase.RESTING, Phase.SILENT) if unasked else (Phase.RESTING,):
+        for phase in (Phase.RESTING, Phase.SILENT) if include_new else (Phase.RESTING,):
             for client in list(self.phases[phase]):
                 if not client.begun and not client.unread():
                     client.close()
@@ -101,7 +103,7 @@
         phases = {f"clients_{phase.name.lower()}": len(clients) for phase, clients in self.phases.items()}
         return {
             "clients_now": len(self.connections),
-            "flowing": len(self.flowing),
+            "flowing": len(self.streaming),
             **phases,
         }
 
@@ -126,11 +128,11 @@
                     break
                 if phase is Phase.CLOSING or not client.unread():
                     client.leave(overdue=True)
-        slow = [*self.phases[Phase.HEAD], *self.phases[Phase.BODY], *self.receiving]
+        slow = [*self.phases[Phase.HEAD], *self.phases[Phase.BODY], *self.uploading]
         for client in slow:
             if client.late(now) and not client.unread():
                 client.leave(overdue=True)
-        for client in [client for client in self.flowing if client.stuck(now)]:
+        for client in [client for client in self.streaming if client.stuck(now)]:
             self._counters["answers_unread"] += 1
             client.abort()
         if rests:
--- a/lupinlink/net/clients/accepting.py
+++ b/lupinlink/net/clients/listener.py
@@ -11,13 +11,13 @@
 from twisted.internet.tcp import Port as TcpPort
 
 from lupinlink.net import http1
-from lupinlink.net.bodies import Budget
-from lupinlink.net.clients.calls import CallReader
-from lupinlink.net.clients.peer import Peer
+from lupinlink.net.bodies import BodyBudget
+from lupinlink.net.clients.connection import ClientConnection
+from lupinlink.net.clients.connection_table import ConnectionTable
 from lupinlink.net.clients.phases import Phase
-from lupinlink.net.clients.places import Places
 from lupinlink.net.clients.queue_wait import QueueWait
-from lupinlink.net.clients.requests import Client
+from lupinlink.net.clients.request_reader import RequestReader
+from lupinlink.net.clients.requests import Http1ClientConnection
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
 from lupinlink.net.lifecycle import Lifecycle
@@ -78,7 +78,7 @@
         most = self.numberAccepts = max(1, min(ACCEPTS, clients.room))
         before = clients.counters["clients"]
         super().doRead()  # type: ignore[no-untyped-call]
-        if clients.queue.since is None:
+        if clients.accept_queue.since is None:
             return
         if clients.counters["clients"] - before < most or not waiting(self):
             clients.watched()  # the kernel's queue is empty: what comes from now on is read as it comes
@@ -103,13 +103,13 @@
         self.proxy, self.clock, self.counters = proxy, clock, counters
         self._discovery_client, self._lifecycle = discovery_client, lifecycle
         self.port: Port | None = None
-        self.crowded = False  # full of busy connections: the listener is not read
-        self.queue = QueueWait()
-        self.budget = Budget(0)  # for all bodies on their way in
-        self.read = CallReader(settings, self.budget).read
-        places = self._places = Places(cap, clock, counters)
+        self.accept_paused = False  # full of busy connections: the listener is not read
+        self.accept_queue = QueueWait()
+        self.budget = BodyBudget(0)  # for all bodies on their way in
+        self.read = RequestReader(settings, self.budget).read
+        places = self._places = ConnectionTable(cap, clock, counters)
         self.connections, self.phases, self.enter = places.connections, places.phases, places.enter
-        self.flowing, self.receiving = places.flowing, places.receiving
+        self.streaming, self.uploading = places.streaming, places.uploading
         self.resize(cap, spare_mb)
         clock.after(SWEEP_MS, self._sweep)
 
@@ -123,72 +123,72 @@
         """How many more connections the cap allows."""
         return self.connections.capacity - len(self.connections)
 
-    def keeps(self, client: Peer) -> bool:
+    def keeps(self, client: ClientConnection) -> bool:
         """Whether a connection that has its answer stays.
 
         While others wait in the kernel's queue, a kept connection would leave them there for good.
         """
-        if not self._lifecycle.keeps() or self.crowded:
+        if not self._lifecycle.keeps() or self.accept_paused:
             return False
         stays = self._places.worth_keeping(client)
         self.counters["given_up_answered"] += not stays
         return stays
 
-    def buildProtocol(self, addr: object) -> Client | None:
+    def buildProtocol(self, addr: object) -> Http1ClientConnection | None:
         if self.connections.full and not self._places.make_room():
             self.counters["connections_over_cap"] += 1
             return None
-        client = Client(self)
+        client = Http1ClientConnection(self)
         client.address = getattr(addr, "host", "")
-        client.held_ms = self.queue.waited_ms(self.clock.now())
-        self.queue.accepted()
+        client.held_ms = self.accept_queue.waited_ms(self.clock.now())
+        self.accept_queue.accepted()
         client.handle = self.connections.add(client)
         self.enter(client, Phase.SILENT)
         self.counters["clients"] += 1
         if self.connections.full and not self._places.make_room():
             # The rest waits in the kernel's queue until there is room, instead of being turned away.
-            self.crowded = True
+            self.accept_paused = True
             self.listen()
         return client
 
-    def lost(self, client: Peer) -> None:
+    def lost(self, client: ClientConnection) -> None:
         """A connection has ended."""
         self._places.forget(client)
         self._uncrowd()
 
     def _uncrowd(self) -> None:
-        if self.crowded and not self.connections.full:
-            self.crowded = False
+        if self.accept_paused and not self.connections.full:
+            self.accept_paused = False
             self.listen()
 
     def listen(self) -> None:
         """Read the listener or leave it, as the service's state and the room here have it."""
         if self.port is not None:
-            if self._lifecycle.accepts() and not self.crowded:
+            if self._lifecycle.accepts() and not self.accept_paused:
                 self.port.startReading()
-                if self.queue.since is not None:
+                if self.accept_queue.since is not None:
                     self._look_at_queue()
                     if not waiting(self.port):
-                        self.queue.ended()  # nobody queued meanwhile
+                        self.accept_queue.ended()  # nobody queued meanwhile
             else:
                 self.port.stopReading()
-                if self.queue.since is None:
-                    self.queue.left(self.clock.now())
+                if self.accept_queue.since is None:
+                    self.accept_queue.reading_stopped(self.clock.now())
 
     def _look_at_queue(self) -> None:
-        if self.port is not None and self.queue.since is not None:
-            self.queue.looked(self.clock.now(), queue_length(self.port))
+        if self.port is not None and self.accept_queue.since is not None:
+            self.accept_queue.looked(self.clock.now(), queue_length(self.port))
 
     def watched(self) -> None:
         """The listener has been read empty: connections from now on are taken as they come."""
-        if self.port is not None and self._lifecycle.accepts() and not self.crowded:
-            self.queue.ended()
+        if self.port is not None and self._lifecycle.accepts() and not self.accept_paused:
+            self.accept_queue.ended()
 
     def resize(self, cap: int, spare_mb: float) -> None:
         """Have room for so many connections; whoever is beyond it stays until it goes."""
         self.connections.capacity = cap
         self.budget.most = max(2 * http1.MAX_BODY, int(spare_mb * HELD_SHARE * 1024.0 * 1024.0))
-        self.crowded = self.connections.full
+        self.accept_paused = self.connections.full
         self.listen()
 
     @property
@@ -196,9 +196,9 @@
         """Whether connections wait in the kernel's queue that this process is to take."""
         return self.port is not None and self._lifecycle.accepts() and waiting(self.port)
 
-    def close_idle(self, unasked: bool) -> None:
+    def close_idle(self, include_new: bool) -> None:
         """Close what is between requests; ``unasked``: also who has not asked anything yet."""
-        self._places.close_idle(unasked)
+        self._places.close_idle(include_new)
 
     def gauges(self) -> dict[str, int]:
         """The size of every table here."""
@@ -211,6 +211,6 @@
             self._look_at_queue()
         # Without a listener nobody wants a place here, and a close may cross a request.
         self._places.sweep(rests=self._lifecycle.accepts())
-        if self.crowded and self._places.make_room():
+        if self.accept_paused and self._places.make_room():
             self._uncrowd()
         self.clock.after(SWEEP_MS, self._sweep)
--- a/lupinlink/net/clients/queue_wait.py
+++ b/lupinlink/net/clients/queue_wait.py
@@ -21,7 +21,7 @@
         self._looked_at: float | None = None
         self._ahead = 0  # of what stood in the queue at the look, not accepted yet
 
-    def left(self, now: float) -> None:
+    def reading_stopped(self, now: float) -> None:
         """The listener is not read from now on, or what queues is new from now on."""
         self.since = now
         self._looked_at = None
@@ -35,7 +35,7 @@
         if self.since is None:
             return
         if queued == 0:
-            self.left(now)
+            self.reading_stopped(now)
         elif self._looked_at is None:
             self._looked_at, self._ahead = now, queued
 
--- a/lupinlink/net/clients/calls.py
+++ b/lupinlink/net/clients/request_reader.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from lupinlink.net import http1
-from lupinlink.net.bodies import Body, Budget
-from lupinlink.net.terms import Call
+from lupinlink.net.bodies import Body, BodyBudget
+from lupinlink.net.request_types import ClientRequest
 from lupinlink.settings import Effect, Settings
 
 PASSED = {"x-trace-id", "idempotency-key"}
 
 
-class CallReader:
+class RequestReader:
     """Knows the classes and tenants by name."""
 
-    def __init__(self, settings: Settings, budget: Budget) -> None:
+    def __init__(self, settings: Settings, budget: BodyBudget) -> None:
         self._settings, self._budget = settings, budget
         self._classes = {c.name: i for i, c in enumerate(settings.classes)}
         self._tenants = {t.name: i for i, t in enumerate(settings.tenants)}
 
-    def read(self, message: http1.Message, path: str) -> Call:
+    def read(self, message: http1.Message, path: str) -> ClientRequest:
         """A request in the terms of the decisions; raises MessageError for what cannot be put so."""
         if message.method not in ("GET", "HEAD", "POST"):
             raise http1.MessageError(405, "method not allowed")
@@ -41,7 +41,7 @@
             expires = min(float(text), expires)
         # A connection's own headers, and what it names as such, end here; the two ids always pass.
         own = (http1.HOP_BY_HOP | message.options()) - PASSED
-        return Call(
+        return ClientRequest(
             trace,
             index,
             self._tenants.get(message.get("x-customer") or "", -1) if self._tenants else 0,
--- a/lupinlink/net/clients/requests.py
+++ b/lupinlink/net/clients/requests.py
@@ -9,10 +9,10 @@
 
 from lupinlink.limits.progress import Progress
 from lupinlink.net import http1
-from lupinlink.net.clients.answers import Answered
-from lupinlink.net.clients.peer import Crowd, Intake
+from lupinlink.net.clients.connection import ConnectionOwner, IncomingRequest
 from lupinlink.net.clients.phases import Phase
-from lupinlink.net.terms import Call, Failure
+from lupinlink.net.clients.responses import RespondingConnection
+from lupinlink.net.request_types import ClientRequest, FailureReason
 
 log = logging.getLogger("lupinlink.net.clients")
 SENT_AHEAD = 8 * 1024  # bytes of further requests that may wait behind one: clients send one at a time
@@ -21,10 +21,10 @@
 TOO_MANY = "too many requests sent ahead"
 
 
-class Client(Answered):
+class Http1ClientConnection(RespondingConnection):
     """One connection of a client; one request at a time."""
 
-    def __init__(self, clients: Crowd) -> None:
+    def __init__(self, clients: ConnectionOwner) -> None:
         super().__init__(clients)
         self._advancing = self._overrun = False
         self._discarded = 0
@@ -61,18 +61,18 @@
         intake, self._intake = self._intake, None
         request, self._request = self._request, None
         flow, self._flow = self._flow, None
-        self._clients.flowing.pop(self, None)
-        self._clients.receiving.pop(self, None)
+        self._clients.streaming.pop(self, None)
+        self._clients.uploading.pop(self, None)
         owed, self._waiting = self._waiting, False
         if owed and request is not None:
-            self._clients.proxy.gone(request)
+            self._clients.proxy.client_left(request)
         if intake is not None:
             intake.call.body.break_off()
             intake.call.body.drop()
         if flow is not None:
             flow.stop()
 
-    def to_go(self) -> tuple[int, int]:
+    def bytes_to_go(self) -> tuple[int, int]:
         """Bytes still to go of a long answer or of a body that comes, and how many of both do not tell."""
         told, untold = 0, 0
         if self._flow is not None and self._flow.length is not None:
@@ -92,7 +92,7 @@
             return
         self._advancing = True
         try:
-            while not self._deaf and (self._intake is not None or not (self._waiting or self._choked)):
+            while not self._deaf and (self._intake is not None or not (self._waiting or self._not_reading)):
                 message = self._parser.next()
                 ahead = message is not None and len(self._parser.buffer) > SENT_AHEAD
                 if self._overrun or ahead:
@@ -112,7 +112,7 @@
         except Exception:
             log.exception("request failed inside")
             self._clients.counters["internal_errors"] += 1
-            self.reject(500, Failure.INTERNAL.value)
+            self.reject(500, FailureReason.INTERNAL.value)
         finally:
             self._advancing = False
         if self._deaf:
@@ -121,8 +121,8 @@
             # Counted from the first byte: a peer that drips bytes must not hold its connection for ever.
             begun = Phase.HEAD if self._intake is None else Phase.BODY
             rests = Phase.RESTING if self.asked else Phase.SILENT
-            self._clients.enter(self, begun if self._parser.begun() else rests)
-        if self._intake is None and (self._waiting or self._choked):
+            self._clients.enter(self, begun if self._parser.started() else rests)
+        if self._intake is None and (self._waiting or self._not_reading):
             # It is told so once the request that is open has its answer; nothing that it sends is taken.
             self._overrun = self._overrun or len(self._parser.buffer) > SENT_AHEAD
 
@@ -139,7 +139,7 @@
         call.body.finish()
         self._give(call)
 
-    def _read(self, message: http1.Message, path: str) -> Call:
+    def _read(self, message: http1.Message, path: str) -> ClientRequest:
         """The call, with how long it may have waited unread: only the first of a connection can have."""
         call = self._clients.read(message, path)
         call.address = self.address
@@ -151,7 +151,7 @@
         self._keep = head.version == 1 and head.keeps_open()
         self._minor, self._only_head = head.version, head.method == "HEAD"
 
-    def _give(self, call: Call) -> None:
+    def _give(self, call: ClientRequest) -> None:
         """To the decisions, unless its client has closed already: for nobody, nothing is sent on."""
         if call.body.whole and self.has_left():
             self._clients.counters["left_unheard"] += 1
@@ -159,7 +159,7 @@
             call.body.drop()
             return
         self._waiting, self._request = True, None
-        request = self._clients.proxy.take(call, self)
+        request = self._clients.proxy.submit(call, self)
         if self._waiting:
             self._request = request
         else:
@@ -173,11 +173,11 @@
             self._know(head)
             call = self._read(head, head.target.partition("?")[0])
             call.body.length = self._parser.length
-            intake = self._intake = Intake(call, Progress(now))
+            intake = self._intake = IncomingRequest(call, Progress(now))
             call.body.room = lambda: self._go_on(intake)
             if (head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        body, data = intake.call.body, self._parser.drain()
+        body, data = intake.call.body, self._parser.take_body()
         if data:
             intake.progress.came(len(data), now)
             body.add(data)
@@ -188,26 +188,26 @@
                 self._clients.counters["bodies_flowing"] += 1
                 self.asked = True
                 self._clients.enter(self, Phase.OPEN)
-                self._clients.receiving[self] = None
+                self._clients.uploading[self] = None
                 self._give(intake.call)
         if body.full and self._intake is not None:
             intake.progress.hold(now)
             self._read_on("body", False)
 
-    def _go_on(self, intake: Intake) -> None:
+    def _go_on(self, intake: IncomingRequest) -> None:
         """There is room for more of the body."""
         if self._intake is intake:
             intake.progress.go_on(self._clients.clock.now())
             self._read_on("body", True)
 
-    def _received(self, intake: Intake, data: bytes) -> None:
+    def _received(self, intake: IncomingRequest, data: bytes) -> None:
         """The last byte of a body is here."""
         self._intake = None
-        self._clients.receiving.pop(self, None)
+        self._clients.uploading.pop(self, None)
         self._read_on("body", True)
         intake.call.body.add(data)
         intake.call.body.finish()
         if not self._waiting:
             self._give(intake.call)
         elif self._request is not None:
-            self._clients.proxy.completed(self._request)
+            self._clients.proxy.body_completed(self._request)
--- a/lupinlink/net/wishes.py
+++ b/lupinlink/net/drain_reasons.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 
-class Wishes:
+class DrainReasons:
     """The wishes; each call may come at any time, and twice."""
 
     def __init__(self, drain: Callable[[], None], in_service: Callable[[], bool]) -> None:
--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -27,12 +27,12 @@
 from lupinlink.coordination.tenure import Tenure
 from lupinlink.coordination.wire import Wire
 from lupinlink.errors import LupinError
+from lupinlink.net.drain_reasons import DrainReasons
 from lupinlink.net.seam import Host, Refusal
 from lupinlink.net.wheel import Clockwork
-from lupinlink.net.wishes import Wishes
 
 if TYPE_CHECKING:
-    from lupinlink.net.terms import Call
+    from lupinlink.net.request_types import ClientRequest
     from lupinlink.net.typed import Reactor
     from lupinlink.settings import Config
 
@@ -48,12 +48,12 @@
 class Gate(Protocol):
     """A part that may refuse calls; there is one at most."""
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         """As ``FleetSide.admits``."""
         ...
 
     @property
-    def settled(self) -> Callable[[Call], None] | None:
+    def settled(self) -> Callable[[ClientRequest], None] | None:
         """As ``FleetSide.settled``."""
         ...
 
@@ -75,7 +75,7 @@
     _host: Host | None = None
     _lead: Lead | None = None
     _led: bool = False  # by a part that starts and stops it itself
-    _wishes: Wishes | None = None
+    _wishes: DrainReasons | None = None
 
     @property
     def host(self) -> Host:
@@ -84,10 +84,10 @@
         return self._host
 
     @property
-    def wishes(self) -> Wishes:
+    def wishes(self) -> DrainReasons:
         """Who wants this proxy out of service; a part takes it out and back through this alone."""
         if self._wishes is None:
-            self._wishes = Wishes(self.host.drain, self.host.in_service)
+            self._wishes = DrainReasons(self.host.drain, self.host.in_service)
         return self._wishes
 
     def lead(self) -> Lead:
@@ -194,12 +194,12 @@
                 table[path] = methods
         return table
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         """As the quota has it."""
         return self._gate.admits(call) if self._gate is not None else None
 
     @property
-    def settled(self) -> Callable[[Call], None] | None:
+    def settled(self) -> Callable[[ClientRequest], None] | None:
         """As the quota has it."""
         return self._gate.settled if self._gate is not None else None
 
--- a/lupinlink/net/hosting.py
+++ b/lupinlink/net/hosting.py
@@ -15,8 +15,8 @@
 from lupinlink.net.management import Call as ManagementCall
 from lupinlink.net.management import WrongAskError
 from lupinlink.net.parts import Parts
+from lupinlink.net.request_types import ClientRequest
 from lupinlink.net.seam import FleetSide, Gauges, Listed, Outcomes
-from lupinlink.net.terms import Call
 from lupinlink.settings import Config
 
 log = logging.getLogger(__name__)
@@ -108,9 +108,9 @@
         )  # fmt: skip
         self._reports, self._tally = Reports(), Tally()
         self._started = self._stopped = False
-        self._proxy.admits = self._admits
-        self._proxy.settled = fleet.settled
-        self._proxy.reported, self._proxy.passed = self._reported, self._tally.ended
+        self._proxy.quota_check = self._admits
+        self._proxy.on_settled = fleet.settled
+        self._proxy.on_load_report, self._proxy.on_attempt_ended = self._reported, self._tally.ended
 
     def calls(self, own: DoorCallTable) -> DoorCallTable:
         """The door's calls: the service's ``own`` and the fleet's."""
@@ -138,7 +138,7 @@
             except Exception:  # a stop goes on, whatever the fleet's shell makes of it
                 log.exception("fleet failed to stop")
 
-    def _admits(self, call: Call) -> float | None:
+    def _admits(self, call: ClientRequest) -> float | None:
         refusal = self._fleet.admits(call)
         return refusal.retry_after_ms if refusal is not None else None
 
@@ -177,7 +177,7 @@
         """Every request gets its answer; what is at rest is closed."""
         here = len(self._clients.connections)
         self._proxy.end_all()
-        self._clients.close_idle(unasked=True)
+        self._clients.close_idle(include_new=True)
         return here
 
     def gauges(self) -> Gauges:
@@ -186,8 +186,8 @@
         counts = {phase: len(clients) for phase, clients in phases.items()}
         # Each phase is in order of time.
         oldest = [next(iter(phases[phase])).since for phase in (Phase.OPEN, Phase.BODY) if counts[phase]]
-        long = {**phases[Phase.BODY], **self._clients.receiving, **self._clients.flowing}
-        left = [client.to_go() for client in long]
+        long = {**phases[Phase.BODY], **self._clients.uploading, **self._clients.streaming}
+        left = [client.bytes_to_go() for client in long]
         known = self.use()
         uses = [known[one.name] for one in self.servers() if one.state == "ready" and one.name in known]
         return Gauges(
@@ -199,7 +199,7 @@
             oldest_ms=now - min(oldest, default=now),
             bytes_to_go=sum(told for told, _ in left),
             untold=sum(untold for _, untold in left),
-            unread=sum(client.choked for client in self._clients.flowing),
+            unread=sum(client.not_reading for client in self._clients.streaming),
             servers_ready=self._discovery_client.ready,
             use=sum(uses) / len(uses) if uses else None,
             counters=dict(self._counters),
@@ -213,7 +213,9 @@
             name, state = str(item["uid"]), STATES.get(item["state"])
             ready = "ready" if state is not None and state.name == "READY" else "draining"
             began = float(item.get("boot_ms") or 0.0)
-            found.append(Listed(name, str(item.get("az") or ""), ready, self._servers.reached(name), began))
+            found.append(
+                Listed(name, str(item.get("az") or ""), ready, self._servers.is_reachable(name), began)
+            )
         return found
 
     def use(self) -> Mapping[str, float]:
@@ -226,7 +228,7 @@
 
     def busy(self) -> set[str]:
         """Servers with a request from here."""
-        return self._servers.busy()
+        return self._servers.busy_servers()
 
     def withhold(self, names: frozenset[str]) -> None:
         """These are out of use, and no others."""
--- a/lupinlink/net/http1.py
+++ b/lupinlink/net/http1.py
@@ -10,11 +10,11 @@
 from lupinlink.net.http1_writers import CHUNKED as CHUNKED
 from lupinlink.net.http1_writers import LAST_CHUNK as LAST_CHUNK
 from lupinlink.net.http1_writers import REASONS as REASONS
-from lupinlink.net.http1_writers import answer as answer
-from lupinlink.net.http1_writers import answer_head as answer_head
 from lupinlink.net.http1_writers import chunk as chunk
 from lupinlink.net.http1_writers import request as request
 from lupinlink.net.http1_writers import request_head as request_head
+from lupinlink.net.http1_writers import response as response
+from lupinlink.net.http1_writers import response_head as response_head
 
 MAX_HEAD = 16 * 1024
 MAX_BODY = 64 * 1024
@@ -40,7 +40,7 @@
     def __init__(self, max_held: int = MAX_BODY, max_body: int | None = None) -> None:
         self.buffer = bytearray()
         self.head: Message | None = None  # the message that is being read
-        self.came = 0  # bytes of its body so far
+        self.body_received = 0  # bytes of its body so far
         self.length: int | None = None  # of its body, as told; None: it shows at its end
         self._max_held, self._max_body = max_held, max_held if max_body is None else max_body
         self._body = bytearray()
@@ -51,7 +51,7 @@
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether a part of a message is here."""
         return self.head is not None or bool(self.buffer)
 
@@ -69,11 +69,11 @@
             self._keep(len(self.buffer))
             whole = False
         else:
-            self._keep(min(self.length - self.came, len(self.buffer)))
-            whole = self.came == self.length
+            self._keep(min(self.length - self.body_received, len(self.buffer)))
+            whole = self.body_received == self.length
         return self._done() if whole else None
 
-    def drain(self) -> bytes:
+    def take_body(self) -> bytes:
         """The body since the last call, for one that is read as it comes."""
         data = bytes(self._body)
         self._body.clear()
@@ -87,11 +87,11 @@
     def start_line(self, line: str) -> Message:
         raise NotImplementedError
 
-    def without_length(self, message: Message) -> int | None:
+    def default_body_length(self, message: Message) -> int | None:
         """The body's length where no header tells it."""
         raise NotImplementedError
 
-    def bodiless(self, message: Message) -> bool:
+    def has_no_body(self, message: Message) -> bool:
         """Whether no body follows, whatever its headers say."""
         return False
 
@@ -109,10 +109,10 @@
         return bool(self.buffer) or (self._chunked and self._chunk != -1)
 
     def _keep(self, count: int) -> None:
-        if len(self._body) + count > self._max_held or self.came + count > self._max_body:
+        if len(self._body) + count > self._max_held or self.body_received + count > self._max_body:
             raise MessageError(413, "body too large")
         if count:
-            self.came += count
+            self.body_received += count
             self._body += self.buffer[:count]
             del self.buffer[:count]
 
@@ -148,7 +148,7 @@
     def _frame(self, message: Message) -> None:
         coding, length = message.get("transfer-encoding"), message.get("content-length")
         self._chunked, self._chunk, self._trailer = False, -1, 0
-        self.came, self.length = 0, None
+        self.body_received, self.length = 0, None
         if coding is not None:
             # Two framings in one message let requests be smuggled past a proxy.
             if length is not None or coding.strip().lower() != "chunked":
@@ -163,8 +163,8 @@
                 raise MessageError(413, "body too large")
             self.length = int(value)
         else:
-            self.length = self.without_length(message)
-        if self.bodiless(message):
+            self.length = self.default_body_length(message)
+        if self.has_no_body(message):
             self._chunked, self.length = False, 0
 
     def _read_chunks(self) -> bool:
@@ -218,11 +218,11 @@
             raise MessageError(505 if known and "HTTP/1." not in line else 400, "malformed request line")
         return Message(int(match.group(3)), [], method=match.group(1), target=match.group(2))
 
-    def without_length(self, message: Message) -> int | None:
+    def default_body_length(self, message: Message) -> int | None:
         return 0
 
 
-class AnswerParser(Parser):
+class ResponseParser(Parser):
     """Reads what an application server or discovery answers."""
 
     def start_line(self, line: str) -> Message:
@@ -231,10 +231,10 @@
             raise MessageError(502, "malformed status line")
         return Message(int(match.group(1)), [], status=int(match.group(2)))
 
-    asked_for_head = False  # set before the answer to a HEAD comes
+    for_head_request = False  # set before the answer to a HEAD comes
 
-    def without_length(self, message: Message) -> int | None:
-        return 0 if self.bodiless(message) else None
+    def default_body_length(self, message: Message) -> int | None:
+        return 0 if self.has_no_body(message) else None
 
-    def bodiless(self, message: Message) -> bool:
-        return self.asked_for_head or message.status < 200 or message.status in (204, 304)
+    def has_no_body(self, message: Message) -> bool:
+        return self.for_head_request or message.status < 200 or message.status in (204, 304)
--- a/lupinlink/net/http1_writers.py
+++ b/lupinlink/net/http1_writers.py
@@ -47,11 +47,11 @@
     return request_head(method, target, headers, len(body)) + body
 
 
-def answer_head(status: int, headers: list[tuple[str, str]], length: int | None, close: bool) -> bytes:
+def response_head(status: int, headers: list[tuple[str, str]], length: int | None, close: bool) -> bytes:
     """An answer's head; ``length``: of its body, CHUNKED, or None for a body to the end of the connection."""
     return _head(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", headers, length, close)
 
 
-def answer(status: int, headers: list[tuple[str, str]], body: bytes, close: bool) -> bytes:
+def response(status: int, headers: list[tuple[str, str]], body: bytes, close: bool) -> bytes:
     """An answer's bytes; the framing is added here."""
-    return answer_head(status, headers, len(body), close) + body
+    return response_head(status, headers, len(body), close) + body
--- a/lupinlink/net/list_keeper.py
+++ b/lupinlink/net/list_keeper.py
@@ -120,7 +120,7 @@
     def _learn(self, kind: api.MembershipKind, entries: Sequence[ListEntry], current: bool) -> None:
         """The pools and the module, at once."""
         rows = [(self._narrowed(entry.endpoint), entry.host, entry.port) for entry in entries]
-        self._servers.learn(rows, kind != api.MembershipKind.DELTA)
+        self._servers.update_list(rows, kind != api.MembershipKind.DELTA)
         self._tell(api.Membership(kind, [row for row, _, _ in rows], current))
 
     def _narrowed(self, row: api.Endpoint) -> api.Endpoint:
--- a/lupinlink/net/parts.py
+++ b/lupinlink/net/parts.py
@@ -39,8 +39,8 @@
     servers = ApplicationServers(reactor, clock, settings, room.servers, counters)
     discovery_client = DiscoveryClient(reactor, clock, config.discovery, settings, servers, counters)
     proxy = Proxy(settings, config.seed, clock, servers, discovery_client.call, counters)
-    discovery_client.tell = proxy.queue
-    proxy.trust_changed = partial(_trust_changed, discovery_client, lifecycle)
+    discovery_client.tell = proxy.handle_soon
+    proxy.on_trust_changed = partial(_trust_changed, discovery_client, lifecycle)
     clock.after(LIST_WAIT_MS, lifecycle.settle_list)
     servers.read_waiting_news = discovery_client.read_waiting_news
     servers.list_is_held = proxy.list_is_held
--- a/lupinlink/net/premises.py
+++ b/lupinlink/net/premises.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 
 from lupinlink.net.clients import Listener
-from lupinlink.net.clients.accepting import BACKLOG
+from lupinlink.net.clients.listener import BACKLOG
 from lupinlink.net.discovery_client import ListError
 from lupinlink.net.handover.channel import Channel, Doorstep, call, place
 from lupinlink.net.handover.room import Held, Limits, Room, held, room, shrunk
@@ -131,7 +131,7 @@
         self._clients.port = cast(Port, listening)
         if self._upgrade.busy:
             # A predecessor serves at this address, so no front held requests for it: what queues is new.
-            self._clients.queue.left(self._clock.now())
+            self._clients.accept_queue.reading_stopped(self._clock.now())
         self._clients.listen()  # not before this process serves
         if offer.get("drained"):
             self._told(True)
--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -17,20 +17,21 @@
 from lupinlink.clock import Clock
 from lupinlink.interface import MembershipKind, Status
 from lupinlink.net.counters import Counters
-from lupinlink.net.open_requests import OpenRequests, Taken
-from lupinlink.net.terms import (
+from lupinlink.net.open_requests import OpenRequest, OpenRequests
+from lupinlink.net.request_types import (
     ApplicationServerSide,
-    AttemptEnd,
-    Call,
-    ClientSide,
-    Failure,
+    AttemptResult,
+    ClientRequest,
+    FailureReason,
     OpenAttempt,
-    Refused,
+    RefusalReason,
     Reply,
+    Responder,
 )
 from lupinlink.settings import Settings
 
-__all__ = ["AttemptEnd", "Call", "ClientSide", "Failure", "OpenAttempt", "Proxy", "Refused", "Reply"]
+__all__ = ["AttemptResult", "ClientRequest", "FailureReason", "OpenAttempt", "Proxy", "RefusalReason",
+           "Reply", "Responder"]  # fmt: skip
 log = logging.getLogger(__name__)
 
 
@@ -52,9 +53,9 @@
         self._events: deque[api.Event] = deque()
         self._busy = False
         # A fleet file's: told of the load reports that servers send along, and how each attempt ended.
-        self.reported: Callable[[str, Mapping[str, float]], None] | None = None
-        self.passed: Callable[[str, Status], None] | None = None
-        self.trust_changed: Callable[[api.ListTrustChanged], None] = lambda change: None
+        self.on_load_report: Callable[[str, Mapping[str, float]], None] | None = None
+        self.on_attempt_ended: Callable[[str, Status], None] | None = None
+        self.on_trust_changed: Callable[[api.ListTrustChanged], None] = lambda change: None
         self._carry: dict[type, Callable[..., None]] = {
             api.Send: self._send,
             api.Cancel: self._cancel,
@@ -71,11 +72,11 @@
         return {"requests_now": len(self._requests), "identities": len(self._identities),
                 **self._module.sizes()}  # fmt: skip
 
-    def news(self, kind: MembershipKind, endpoints: list[api.Endpoint]) -> None:
+    def membership_changed(self, kind: MembershipKind, endpoints: list[api.Endpoint]) -> None:
         """The list of backends has changed, or asking for it failed."""
-        self.tell(api.Membership(kind, endpoints))
+        self.handle(api.Membership(kind, endpoints))
 
-    def queue(self, event: api.Event) -> None:
+    def handle_soon(self, event: api.Event) -> None:
         """As ``tell``, from the middle of a read: told before any other event, within a tick at the latest.
 
         Danger: told at once, the module would send by this news while more of what was read lies unheard.
@@ -84,7 +85,7 @@
         if not self._busy:
             self._clock.after(0.0, self._run)
 
-    def tell(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
         """Give the module an event and carry out its actions; what they cause waits for its turn."""
         self._events.append(event)
         self._run()
@@ -120,9 +121,9 @@
                 log.exception("action failed", extra={"kv": {"action": type(action).__name__}})
                 self.counters["internal_errors"] += 1
                 if isinstance(action, api.Send | api.Refuse | api.Fail):
-                    self.end(int(action.request_id), Failure.INTERNAL)
+                    self.end(int(action.request_id), FailureReason.INTERNAL)
         if broken and isinstance(event, api.Arrival | api.Outcome):
-            self.end(int(event.request_id), Failure.INTERNAL)
+            self.end(int(event.request_id), FailureReason.INTERNAL)
 
     def _send(self, action: api.Send) -> None:
         handle = int(action.request_id)
@@ -153,15 +154,15 @@
         """Whether its client still waits; an end that waits unread is one all the same."""
         taken = self._requests.get(handle)
         if taken is not None and taken.side is not None and taken.side.has_left():
-            self.gone(handle)
+            self.client_left(handle)
         return taken is not None and taken.side is not None
 
-    def _attempt_ended(self, end: AttemptEnd, handle: int, index: int, server: str, sent_at: float) -> None:
+    def _attempt_ended(self, end: AttemptResult, handle: int, i: int, server: str, sent_at: float) -> None:
         self.counters[f"attempts_{end.status.name.lower()}"] += 1
-        if self.reported is not None and end.report:
-            self.reported(server, end.report)
-        if self.passed is not None:
-            self.passed(server, end.status)
+        if self.on_load_report is not None and end.report:
+            self.on_load_report(server, end.report)
+        if self.on_attempt_ended is not None:
+            self.on_attempt_ended(server, end.status)
         taken = self._requests.get(handle)
         if taken is None:
             return
@@ -181,27 +182,28 @@
             return
         took = self._clock.now() - sent_at
         closed = taken.side is None
-        self.tell(api.Outcome(str(handle), end.status, took, index, closed, server, end.report))
+        self.handle(api.Outcome(str(handle), end.status, took, i, closed, server, end.report))
         self._release(handle)
 
-    def _end_committed(self, taken: Taken) -> None:
-        """The one attempt of a request that the module has let go of served nobody.
+    def _end_committed(self, taken: OpenRequest) -> None:
+        """Answer a request whose committed attempt brought no reply.
 
-        Where no attempt of it can have run, trying again is harmless, and its client is told so: the
-        application server has turned it away, not we.
+        If none of its attempts can have run, the answer says that a retry is safe.
         """
         if taken.may_have_run:  # or it was rejected: nobody will take it
-            self._answer_failed(taken, Failure.NOT_SERVED)
+            self._answer_failed(taken, FailureReason.NOT_SERVED)
             return
         cls = self._settings.classes[taken.call.class_index]
         side = self._settle(taken)
         if side is not None:
-            self._turn_away(side, Refused.NEVER_RAN, min(self._settings.max_retry_after_ms, cls.aim_ms / 2.0))
+            self._turn_away(
+                side, RefusalReason.NEVER_RAN, min(self._settings.max_retry_after_ms, cls.aim_ms / 2.0)
+            )
 
     def _attempt_broken(self, failure: object, handle: int) -> None:
         log.error("attempt failed inside", extra={"kv": {"why": str(failure)}})
         self.counters["internal_errors"] += 1
-        self.end(handle, Failure.INTERNAL)
+        self.end(handle, FailureReason.INTERNAL)
 
     def _cancel(self, action: api.Cancel) -> None:
         taken = self._requests.get(int(action.request_id))
@@ -214,7 +216,7 @@
         side = self._settle(taken) if taken is not None else None
         if side is not None:
             self.counters[f"refused_for_{action.cause.value}"] += 1
-            self._turn_away(side, Refused.MODULE, action.retry_after_ms)
+            self._turn_away(side, RefusalReason.MODULE, action.retry_after_ms)
         self._release(handle)
 
     def _fail(self, action: api.Fail) -> None:
@@ -222,21 +224,21 @@
         taken = self._requests.get(handle)
         if taken is not None:
             late = self._clock.now() >= taken.deadline
-            self._answer_failed(taken, Failure.TOO_LATE if late else Failure.NOT_SERVED)
+            self._answer_failed(taken, FailureReason.TOO_LATE if late else FailureReason.NOT_SERVED)
         self._release(handle)
 
     def _set_timer(self, action: api.SetTimer) -> None:
         token = action.token
-        self._clock.after(action.delay_ms, lambda: self.tell(api.TimerFired(token)))
+        self._clock.after(action.delay_ms, lambda: self.handle(api.TimerFired(token)))
 
     def _probe(self, action: api.Probe) -> None:
         self.counters["probes"] += 1
         sent_at, server = self._clock.now(), action.endpoint
 
-        def probed(end: AttemptEnd) -> None:
-            if self.reported is not None and end.report:
-                self.reported(server, end.report)
-            self.tell(api.ProbeResult(server, end.status, self._clock.now() - sent_at, end.report))
+        def probed(end: AttemptResult) -> None:
+            if self.on_load_report is not None and end.report:
+                self.on_load_report(server, end.report)
+            self.handle(api.ProbeResult(server, end.status, self._clock.now() - sent_at, end.report))
 
         self._servers.probe(server).addCallback(probed)
 
@@ -244,4 +246,4 @@
         self._watch()
 
     def _trust_changed(self, action: api.ListTrustChanged) -> None:
-        self.trust_changed(action)
+        self.on_trust_changed(action)
--- a/lupinlink/net/terms.py
+++ b/lupinlink/net/request_types.py
@@ -10,10 +10,10 @@
 from twisted.internet.defer import Deferred
 
 from lupinlink.interface import Status
-from lupinlink.net.bodies import Body, Flow
+from lupinlink.net.bodies import Body, ResponseStream
 
 
-class Failure(Enum):
+class FailureReason(Enum):
     """Why a final answer is 'failed'."""
 
     NOT_SERVED = "not served"
@@ -22,7 +22,7 @@
     DUPLICATE = "a request of this id is open"
 
 
-class Refused(Enum):
+class RefusalReason(Enum):
     """Why a final answer is a refusal; as counted, behind ``refused_``."""
 
     TABLE_FULL = "table_full"
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class ClientRequest:
     """What a client asks, in terms that the decisions and the application servers share."""
 
     identity: str  # no two open calls may share it
@@ -57,12 +57,12 @@
 
     headers: list[tuple[str, str]]
     body: bytes  # all of it, or what is here of one that flows
-    flow: Flow | None = None
+    flow: ResponseStream | None = None
     length: int | None = None  # where the body itself was not asked for
 
 
 @dataclass(slots=True)
-class AttemptEnd:
+class AttemptResult:
     """How an attempt ended."""
 
     status: Status
@@ -70,31 +70,36 @@
     report: dict[str, float] | None = None
 
 
-class ClientSide(Protocol):
+class Responder(Protocol):
     """Takes the one final answer of a call."""
 
     def served(self, reply: Reply) -> None: ...
     def refused(self, retry_after_ms: float, over_quota: bool = False) -> None: ...
-    def failed(self, why: Failure) -> None: ...
+    def failed(self, why: FailureReason) -> None: ...
     def has_left(self) -> bool: ...
 
 
 class OpenAttempt(Protocol):
     """One attempt that is out; ``ended`` fires once."""
 
-    ended: Deferred[AttemptEnd]
+    ended: Deferred[AttemptResult]
 
     def give_up(self, status: Status) -> None: ...
-    def end_by(self, at_ms: float) -> None: ...
-    def recall(self) -> None: ...
+    def set_deadline(self, at_ms: float) -> None: ...
+    def cancel_if_unsent(self) -> None: ...
 
 
 class ApplicationServerSide(Protocol):
     """Carries attempts and probes."""
 
     def start(
-        self, server: str, call: Call, timeout_ms: float, begin_by_ms: float, wanted: Callable[[], bool]
+        self,
+        server: str,
+        call: ClientRequest,
+        timeout_ms: float,
+        begin_by_ms: float,
+        wanted: Callable[[], bool],
     ) -> OpenAttempt:
         """``begin_by_ms``: no later may it arrive there; ``wanted``: asked just before it is written."""
 
-    def probe(self, server: str) -> Deferred[AttemptEnd]: ...
+    def probe(self, server: str) -> Deferred[AttemptResult]: ...
--- a/lupinlink/net/seam.py
+++ b/lupinlink/net/seam.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from lupinlink.coordination.part import DoorCalls
     from lupinlink.net.lifecycle import Stand
-    from lupinlink.net.terms import Call
+    from lupinlink.net.request_types import ClientRequest
     from lupinlink.net.typed import Reactor
     from lupinlink.net.wheel import Clockwork
     from lupinlink.settings import Settings
@@ -166,7 +166,7 @@
         """Further calls of the operators' door; asked for once, before ``started``."""
         ...
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         """Whether a call may go to the decisions (None), or is refused at once, with 429.
 
         A call that the proxy cannot take in any case is not asked for. A fault in here fails the call
@@ -175,6 +175,6 @@
         ...
 
     @property
-    def settled(self) -> Callable[[Call], None] | None:
+    def settled(self) -> Callable[[ClientRequest], None] | None:
         """Told of each call that was admitted once nothing is owed for it any more; None: of none."""
         ...
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -13,10 +13,10 @@
 from twisted.internet.error import CannotListenError
 
 from lupinlink.net import log as logs
+from lupinlink.net.client_drain import ClientDrain
 from lupinlink.net.discovery_client import ListError
 from lupinlink.net.handover.room import LEAST_CONNECTIONS, Limits, room
 from lupinlink.net.http1 import MAX_BODY
-from lupinlink.net.leavers import Leavers
 from lupinlink.net.loop_turns import measure
 from lupinlink.net.management import MOST_BODY, Management, most_callers, yes_or_no
 from lupinlink.net.management import Call as DoorCall
@@ -56,7 +56,7 @@
             parts.lifecycle,
             parts.discovery_client,
         )
-        self._leavers = Leavers(parts, self._leave)
+        self._leavers = ClientDrain(parts, self._leave)
         self._premises = Premises(config, limits, now, parts, self._told, self._leavers.watch)
         calls: dict[str, dict[str, DoorCall]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
--- a/lupinlink/net/watch.py
+++ b/lupinlink/net/watch.py
@@ -45,7 +45,7 @@
         self._listener, self._clock, self._times = listener, clock, times
         self._whole, self._pushed = whole, pushed
         self.asks_whole = whole  # at first
-        self._parser = http1.AnswerParser(MAX_LIST, sys.maxsize)
+        self._parser = http1.ResponseParser(MAX_LIST, sys.maxsize)
         self._objects = Objects()
         self.began = self._heard_at = clock.now()
         self.reached = False  # its connection came up, and the request was written
@@ -161,7 +161,7 @@
                 self._take_list(whole)
             return
         # Line by line: an object counts as told though the next one is broken.
-        data = whole.body if whole is not None else self._parser.drain()
+        data = whole.body if whole is not None else self._parser.take_body()
         for line in self._objects.take_middle(data).splitlines(keepends=True):
             signs = self._objects.signs
             found = self._objects.feed(line)
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -21,7 +21,7 @@
 from lupinlink.coordination.memory import MemoryService, MemoryWire
 from lupinlink.coordination.pace import Pacing
 from lupinlink.net.wheel import Clockwork
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 PACING = Pacing(ask_ms=20.0, wait_ms=150.0, again_ms=50.0)
 LOCK_DELAY_MS = 200.0
--- a/tests/answering_backend.py
+++ b/tests/answering_backend.py
@@ -6,8 +6,8 @@
 import subprocess
 import sys
 
-from tests.peers import OK
-from tests.stage import ROOT
+from tests.loopback_servers import OK
+from tests.proxy_process import ROOT
 
 HEAD_END = b"\r\n\r\n"
 
--- a/tests/discovery_calls.py
+++ b/tests/discovery_calls.py
@@ -8,8 +8,8 @@
 
 from tests.backend_list import BackendList, Entry
 from tests.drain_script import CallFault, Fault, Script
+from tests.loopback_servers import chunk
 from tests.memory_net import Link, VirtualClock
-from tests.peers import chunk
 from tests.told_oracle import OpenWatch, Process
 
 BEAT_MS, PIECE_MS, DRIP_MS = 2000.0, 300.0, 1000.0
--- a/tests/discovery_drive.py
+++ b/tests/discovery_drive.py
@@ -11,12 +11,12 @@
 from lupinlink.net.bodies import Body
 from lupinlink.net.handover.room import Room
 from lupinlink.net.parts import Parts, build
-from lupinlink.net.terms import Call, Failure, Reply
+from lupinlink.net.request_types import ClientRequest, FailureReason, Reply
 from lupinlink.settings import Config, Effect, RequestClass, Settings, Tenant
 from tests.drain_script import Script
+from tests.loopback_servers import OK
 from tests.memory_net import Link, VirtualClock
 from tests.memory_reactor import MemoryReactor
-from tests.peers import OK
 from tests.simulated_discovery import ADDRESSES, SimulatedDiscovery
 from tests.told_oracle import LATEST_MS, Lateness, Outage, ToldOracle, after_outages
 
@@ -72,7 +72,7 @@
     def refused(self, retry_after_ms: float, over_quota: bool = False) -> None:
         self._count("refused")
 
-    def failed(self, why: Failure) -> None:
+    def failed(self, why: FailureReason) -> None:
         self._count(f"failed: {why.value}")
 
     def has_left(self) -> bool:
@@ -138,8 +138,8 @@
         if self._parts is not None:
             self._number += 1
             self._fed.append(self.clock.now)
-            call = Call(str(self._number), 0, 0, 1000.0, False, "GET", "/look", [], Body.of(b""))
-            self._parts.proxy.take(call, Side(self._answers))
+            call = ClientRequest(str(self._number), 0, 0, 1000.0, False, "GET", "/look", [], Body.of(b""))
+            self._parts.proxy.submit(call, Side(self._answers))
         since = [self.clock.now - at for at in self._told_by_time]
         if any(DENSE[0] <= one < DENSE[1] for one in since):
             return DENSE_MS
--- a/tests/drain_discovery.py
+++ b/tests/drain_discovery.py
@@ -17,7 +17,7 @@
 from tests.discovery_replies import Form as Form
 from tests.discovery_replies import Kind as Kind
 from tests.discovery_replies import Reply as Reply
-from tests.peers import WAIT, Peer, chunk, listing, read_request, reset
+from tests.loopback_servers import WAIT, LoopbackServer, chunk, listing, read_request, reset
 
 BEAT_S = 2.0  # an empty line comes so often on a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -26,7 +26,7 @@
 CUT_S = 0.7  # from an object that is cut short to the reset of its connection
 
 
-class Door(Peer):
+class Door(LoopbackServer):
     """The port through which one proxy process reaches the shared discovery."""
 
     def __init__(self, shared: SharedDiscovery) -> None:
--- a/tests/drain_fleet.py
+++ b/tests/drain_fleet.py
@@ -20,8 +20,8 @@
 from typing import Any, ClassVar
 
 from tests.drain_discovery import Door, Form, SharedDiscovery
-from tests.peers import OK, WAIT, Peer, reset, row
-from tests.stage import SETTINGS, Stage
+from tests.loopback_servers import OK, WAIT, LoopbackServer, reset, row
+from tests.proxy_process import SETTINGS, ProxyProcessTest
 
 GRACE_S, SLACK_S = 0.25, 0.05  # the grace after a change was told; what sockets may take on top
 ALL_TOLD_S = 6.0  # after discovery had a change and could be reached, or a watch fell silent
@@ -41,7 +41,7 @@
     trace: str
 
 
-class Backend(Peer):
+class Backend(LoopbackServer):
     """Answers 200, whatever the list says of it, and records each request."""
 
     def __init__(self, answer: bytes | None = OK) -> None:
@@ -133,7 +133,7 @@
             wanted -= self.answers.get(timeout=max(0.0, until - time.monotonic())) == 200
 
 
-class FleetStage(Stage):
+class FleetProcessTest(ProxyProcessTest):
     """Several proxy processes round one discovery and four backends."""
 
     forms: ClassVar[tuple[Form, ...]] = (Form.DELTA,)  # of the news, by turns
--- a/tests/fleet_side.py
+++ b/tests/fleet_side.py
@@ -15,7 +15,7 @@
 
 from lupinlink.commands.told import told_off
 from lupinlink.coordination.part import Answer, Ask, DoorCalls
-from lupinlink.net.proxy import Call
+from lupinlink.net.proxy import ClientRequest
 from lupinlink.net.seam import Host, Refusal
 from lupinlink.net.service import serve
 from lupinlink.settings import SettingsError, load_config
@@ -39,7 +39,7 @@
     def calls(self) -> DoorCalls:
         return {"/control/fleet": {"GET": self._tell, "PUT": self._act, "POST": self._echo}}
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         self._asked.append(call.identity)
         quota = next((value for name, value in call.headers if name == "X-Quota"), None)
         if quota == "broken":
@@ -47,7 +47,7 @@
         return Refusal(float(quota)) if quota is not None else None
 
     @property
-    def settled(self) -> Callable[[Call], None]:
+    def settled(self) -> Callable[[ClientRequest], None]:
         return lambda call: self._settled.append(f"{call.identity} {call.address}")
 
     def _tell(self, ask: Ask) -> Answer:
--- a/tests/peers.py
+++ b/tests/loopback_servers.py
@@ -18,7 +18,7 @@
 BROKEN_BYTES = b"\x00\xffnothing of HTTP\r\n\r\n"
 
 
-class Peer:
+class LoopbackServer:
     """A listening socket with a thread for each connection; ``ends`` gets a token as each one ends."""
 
     def __init__(self) -> None:
@@ -75,7 +75,7 @@
     return line, headers, b"".join(pieces)
 
 
-class ApplicationServer(Peer):
+class ApplicationServer(LoopbackServer):
     """Answers as told: bytes are sent, None is silence, b"" or what says close ends the connection."""
 
     def __init__(self, answer: bytes | None = OK) -> None:
@@ -96,7 +96,7 @@
                     return
 
 
-class Discovery(Peer):
+class Discovery(LoopbackServer):
     """Holds watches open; ``asked`` tells of each call, ``list`` is the whole list (None: silence)."""
 
     def __init__(self) -> None:
@@ -134,6 +134,6 @@
     return {"rev": rev, "all": full, "targets": list(rows)}
 
 
-def row(uid: str, server: Peer, state: str = "in_service", **more: Any) -> dict[str, Any]:
+def row(uid: str, server: LoopbackServer, state: str = "in_service", **more: Any) -> dict[str, Any]:
     return {"uid": uid, "endpoint": f"127.0.0.1:{server.port}", "az": "a", "model": "m", "pod_group": 0,
             "state": state, "capacity_hint": 1.0, "boot_ms": 0, **more}  # fmt: skip
--- a/tests/one_turn.py
+++ b/tests/manual_reactor.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from lupinlink.interface import Endpoint, EndpointState
-from lupinlink.net.terms import AttemptEnd
+from lupinlink.net.request_types import AttemptResult
 from tests import test_crossing_answers
 
 
-class OneTurn(unittest.TestCase):
+class ManualReactorTest(unittest.TestCase):
     """One pool on a reactor that turns only when told to."""
 
     def setUp(self) -> None:
@@ -24,7 +24,7 @@
 
     def learn(self, state: EndpointState = EndpointState.READY, **more: Any) -> None:
         host, port = more.pop("address", self.loop.listener.getsockname())
-        self.servers.learn([(Endpoint("s-1", state=state, **more), host, port)], False)
+        self.servers.update_list([(Endpoint("s-1", state=state, **more), host, port)], False)
 
     def drain(self) -> None:
         self.learn(EndpointState.DRAINING)
@@ -33,7 +33,7 @@
         for _ in range(times):
             self.reactor.iterate(0.01)
 
-    def until_ended(self, ends: list[AttemptEnd]) -> None:
+    def until_ended(self, ends: list[AttemptResult]) -> None:
         self.loop.turn_until(lambda: ends)
 
     def came(self, server: socket.socket) -> bytes:
--- a/tests/many_backends.py
+++ b/tests/many_backends.py
@@ -9,15 +9,15 @@
 from typing import Any, ClassVar
 
 from tests.drain_discovery import SharedDiscovery
-from tests.drain_fleet import Backend, FleetStage, Member, Receipt
+from tests.drain_fleet import Backend, FleetProcessTest, Member, Receipt
+from tests.loopback_servers import chunk, row
 from tests.open_load import OpenLoad
-from tests.peers import chunk, row
 
 MANY = 3200
 PER_SECOND = 60.0  # requests at one process
 
 
-class ManyBackendsStage(FleetStage):
+class ManyBackendsStage(FleetProcessTest):
     """The few backends of a fleet's tests, and so many more that share one listener."""
 
     backends_listed: ClassVar[int] = MANY
--- a/tests/stage.py
+++ b/tests/proxy_process.py
@@ -21,14 +21,14 @@
 from typing import Any, ClassVar
 
 from lupinlink.settings import VARIABLES
-from tests.peers import (
+from tests.loopback_servers import (
     BROKEN_BYTES,
     NEVER_RAN,
     OK,
     WAIT,
     ApplicationServer,
     Discovery,
-    Peer,
+    LoopbackServer,
     chunk,
     listing,
     read_request,
@@ -36,7 +36,8 @@
 )  # fmt: skip
 
 __all__ = [
-    "BROKEN_BYTES", "NEVER_RAN", "OK", "WAIT", "ApplicationServer", "Discovery", "Peer", "Stage", "chunk",
+    "BROKEN_BYTES", "NEVER_RAN", "OK", "WAIT", "ApplicationServer", "Discovery", "LoopbackServer",
+    "ProxyProcessTest", "chunk",
     "listing", "read_request", "row",
 ]  # fmt: skip
 UP = b"GET /up HTTP/1.1\r\nHost: test\r\nConnection: close\r\n\r\n"
@@ -55,7 +56,7 @@
 }  # fmt: skip
 
 
-class Stage(unittest.TestCase):
+class ProxyProcessTest(unittest.TestCase):
     """A test with the real program running between peers of its own."""
 
     module: ClassVar[str] = "lupinlink"  # what is run
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -16,8 +16,8 @@
 from typing import ClassVar
 
 from tests.discovery_replies import REPLIES, Form
-from tests.drain_fleet import GRACE_S, PACE_S, SLACK_S, TOLD_AFTER_END_S, UIDS, FleetStage
-from tests.peers import WAIT
+from tests.drain_fleet import GRACE_S, PACE_S, SLACK_S, TOLD_AFTER_END_S, UIDS, FleetProcessTest
+from tests.loopback_servers import WAIT
 from tests.soak_verdict import Life, Verdict
 from tests.told_oracle import OpenWatch, Outage, Process, ToldOracle
 
@@ -33,7 +33,7 @@
 PROCESS_STEPS = ("term", "kill", "reloads", "crowd")
 
 
-class SoakStage(FleetStage):
+class SoakStage(FleetProcessTest):
     """Three proxies; each is started anew after it ended."""
 
     size: ClassVar[int] = 3
--- a/tests/test_ci_files.py
+++ b/tests/test_ci_files.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 
 def load(name: str) -> ModuleType:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -6,7 +6,7 @@
 import sys
 import unittest
 
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 LOADED = """
 import sys
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -20,10 +20,10 @@
 from lupinlink.net.application_servers.attempts import Attempt
 from lupinlink.net.bodies import SMALL_BYTES, Body
 from lupinlink.net.counters import Counters
-from lupinlink.net.terms import AttemptEnd, Call
+from lupinlink.net.request_types import AttemptResult, ClientRequest
 from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import RequestClass, Settings
-from tests.peers import OK, WAIT
+from tests.loopback_servers import OK, WAIT
 
 LONG_MS = WAIT * 1000.0
 NOW = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
@@ -41,7 +41,7 @@
         self.learn()
 
     def learn(self) -> None:
-        self.servers.learn([(Endpoint("s-1"), *self.listener.getsockname())], True)
+        self.servers.update_list([(Endpoint("s-1"), *self.listener.getsockname())], True)
 
     def close_all(self) -> None:
         self.servers.close()
@@ -56,10 +56,10 @@
             if hasattr(end, "close"):
                 end.close()
 
-    def attempt(self, body: bytes = b"", method: str = "POST") -> tuple[Attempt, list[AttemptEnd]]:
-        call = Call("t", 0, 0, LONG_MS, False, method, "/x", [], Body.of(body))
+    def attempt(self, body: bytes = b"", method: str = "POST") -> tuple[Attempt, list[AttemptResult]]:
+        call = ClientRequest("t", 0, 0, LONG_MS, False, method, "/x", [], Body.of(body))
         attempt = self.servers.start("s-1", call, LONG_MS, self.clock.now() + LONG_MS, lambda: True)
-        ends: list[AttemptEnd] = []
+        ends: list[AttemptResult] = []
         attempt.ended.addCallback(ends.append)
         return attempt, ends
 
--- a/tests/test_crossing_attempts.py
+++ b/tests/test_crossing_attempts.py
@@ -9,12 +9,12 @@
 import time
 from typing import Any, ClassVar
 
-from tests.stage import (
+from tests.proxy_process import (
     NEVER_RAN,
     OK,
     WAIT,
     ApplicationServer,
-    Stage,
+    ProxyProcessTest,
     chunk,
     listing,
     read_request,
@@ -55,7 +55,7 @@
         super().close()
 
 
-class Slow(Stage):
+class Slow(ProxyProcessTest):
     settings: ClassVar[dict[str, Any]] = {
         "Classes": [
             {"Name": "look", "Effect": "pure", **LONG},
@@ -164,7 +164,7 @@
         self.assertEqual((other.seen.qsize(), self.gauges()["clients_gone"]), (0, 1))
 
 
-class Reset(Stage):
+class Reset(ProxyProcessTest):
     """An answer without a length ends with its connection: a reset is no end."""
 
     class Server(ApplicationServer):
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -19,8 +19,8 @@
 from lupinlink.net.watch import Watch
 from lupinlink.net.wheel import Clockwork
 from tests.helpers import SAFE
+from tests.proxy_process import chunk
 from tests.recorded_reactor import Recorded
-from tests.stage import chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY_LINE = chunk("\n")
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -12,7 +12,17 @@
 
 from lupinlink.net.handover.room import Limits, room
 from lupinlink.net.typed import READ_BYTES
-from tests.stage import NEVER_RAN, OK, SETTINGS, WAIT, ApplicationServer, Stage, chunk, listing, row
+from tests.proxy_process import (
+    NEVER_RAN,
+    OK,
+    SETTINGS,
+    WAIT,
+    ApplicationServer,
+    ProxyProcessTest,
+    chunk,
+    listing,
+    row,
+)
 
 HEAD = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: "
 AHEAD = b"".join(HEAD + b"%d\r\n\r\n" % i for i in range(600))  # more than may wait behind one request
@@ -40,7 +50,7 @@
                 self.sent.set()
 
 
-class Crossing(Stage):
+class Crossing(ProxyProcessTest):
     """A proxy that can be made to stand still, so that several events are there when it goes on."""
 
     def stand_still(self) -> None:
--- a/tests/test_crossing_lists.py
+++ b/tests/test_crossing_lists.py
@@ -12,7 +12,16 @@
 from typing import Any, ClassVar
 
 from tests import test_reload
-from tests.stage import WAIT, ApplicationServer, Discovery, Stage, chunk, listing, read_request, row
+from tests.proxy_process import (
+    WAIT,
+    ApplicationServer,
+    Discovery,
+    ProxyProcessTest,
+    chunk,
+    listing,
+    read_request,
+    row,
+)
 
 ALL_TOLD_S = 6.0  # what discovery has, and could be asked for, counts as told then
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -37,7 +46,7 @@
             connection.recv(1)
 
 
-class Drips(Stage):
+class Drips(ProxyProcessTest):
     """Bytes that never make an object are no life: the next call comes though they go on."""
 
     def setUp(self) -> None:
@@ -68,7 +77,7 @@
             self.discovery.asked.get(timeout=3.2)  # longer than any silence is borne
 
 
-class Broken(Stage):
+class Broken(ProxyProcessTest):
     """What was whole before broken bytes has been told, whatever ends the watch in the same segment."""
 
     def told_before(self, broken: bytes) -> None:
@@ -160,7 +169,7 @@
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
 
 
-class Crowd(Stage):
+class Crowd(ProxyProcessTest):
     """Idle clients hold all that they may hold as discovery comes up: a descriptor is kept for its watch."""
 
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -23,7 +23,7 @@
 from lupinlink.settings import read_settings
 from tests.helpers import Stand, sends
 from tests.other_settings import ELSEWHERE
-from tests.stage import ApplicationServer, Stage, row
+from tests.proxy_process import ApplicationServer, ProxyProcessTest, row
 
 SLACK_MS = 20.0  # of an answer after the client's deadline
 RATE, END_MS, STILL_MS = 60.0, 9000.0, 2000.0  # arrivals a second; the day; its most with nothing served
@@ -189,7 +189,7 @@
             self.assertEqual(read.classes[0].aim_ms, wanted)
 
 
-class Beyond(Stage):
+class Beyond(ProxyProcessTest):
     """The same with the real program: an aim so long that all was refused for good."""
 
     settings: ClassVar[dict[str, Any]] = {
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -13,13 +13,13 @@
 from twisted.internet.task import Clock
 
 from lupinlink.net.bodies import WHOLE_BYTES
+from lupinlink.net.client_drain import ClientDrain
 from lupinlink.net.clients import Clients, Listener
 from lupinlink.net.counters import Counters
-from lupinlink.net.leavers import Leavers
 from lupinlink.net.lifecycle import STOP_IDLE_MS, Lifecycle
 from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import RequestClass, Settings
-from tests.stage import WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, row
 
 
 class Times(unittest.TestCase):
@@ -45,7 +45,7 @@
         self.assertEqual(state.idle_from(), 10.0 + 1400.0)
 
 
-class Stopping(Stage):
+class Stopping(ProxyProcessTest):
     settings: ClassVar[dict[str, Any]] = {
         "Classes": [{"Name": "look", "AimMs": 300.0, "HardLimitMs": 1000.0, "Effect": "pure"}],
     }
@@ -98,19 +98,19 @@
     def test_who_waits_there_is_taken_before_the_process_ends(self) -> None:
         self.lifecycle.stop(self.clock.now() - self.lifecycle.last_ms)  # long quiet, and time to leave
         left = list[bool]()
-        Leavers(cast(Any, self), lambda: left.append(True)).watch()
+        ClientDrain(cast(Any, self), lambda: left.append(True)).watch()
         self.assertEqual(left, [])
         self.empty()
-        Leavers(cast(Any, self), lambda: left.append(True)).watch()
+        ClientDrain(cast(Any, self), lambda: left.append(True)).watch()
         self.assertEqual(left, [True])
 
     def test_a_crowd_makes_held_ones_of_new_clients_only_until_the_queue_is_seen_empty(self) -> None:
-        self.clients.crowded = True  # the listener is left unread
+        self.clients.accept_paused = True  # the listener is left unread
         self.clients._sweep()
-        self.assertEqual(self.clients.queue.since, -math.inf)  # who waits may have waited from before
+        self.assertEqual(self.clients.accept_queue.since, -math.inf)  # who waits may have waited from before
         self.empty()
-        self.clients.crowded = True
+        self.clients.accept_paused = True
         before = self.clock.now()
         self.clients._sweep()
-        assert self.clients.queue.since is not None
-        self.assertGreaterEqual(self.clients.queue.since, before)
+        assert self.clients.accept_queue.since is not None
+        self.assertGreaterEqual(self.clients.accept_queue.since, before)
--- a/tests/test_drain_answers.py
+++ b/tests/test_drain_answers.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from tests.discovery_replies import Kind, Reply
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, TOLD_AFTER_END_S, FleetStage, Member
+from tests.drain_fleet import ALL_TOLD_S, DRAINED, TOLD_AFTER_END_S, FleetProcessTest, Member
 from tests.drain_script import Away, CallFault, Change, Fault, Going, OutageOf, Restart, Run, Script
 from tests.test_drain_faults import Forced
 
@@ -35,7 +35,7 @@
 SMALL, LARGE = 5, 40  # processes that the settings tell of: how widely calls are spread
 
 
-class AnswersOnTheirWay(FleetStage):
+class AnswersOnTheirWay(FleetProcessTest):
     """Half of the backends drain while no watch stands, and the answer to each next call goes astray."""
 
     def members_of(self, peers: int) -> list[Member]:
@@ -65,7 +65,7 @@
         self.judge_recovered(drained + ALL_TOLD_S)
 
 
-class WatchesThatEndInsteadOfTelling(FleetStage):
+class WatchesThatEndInsteadOfTelling(FleetProcessTest):
     """Discovery has a change for its watches, and ends them. A process that called at once would be told."""
 
     def config(self, *rows: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_drain_crossings.py
+++ b/tests/test_drain_crossings.py
@@ -14,8 +14,8 @@
 from typing import Any, ClassVar
 
 from tests.discovery_replies import WHOLE_FORMS, Form
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, GRACE_S, SLACK_S, FleetStage, Member
-from tests.peers import OK, WAIT
+from tests.drain_fleet import ALL_TOLD_S, DRAINED, GRACE_S, SLACK_S, FleetProcessTest, Member
+from tests.loopback_servers import OK, WAIT
 
 BURST, PIPELINED = 100, 20  # connections with a request each; and requests on one connection
 HELD_S = GRACE_S + 2 * SLACK_S  # a process stands still for longer than the grace
@@ -24,7 +24,7 @@
 JUDGED_S = 1.0
 
 
-class Crossing(FleetStage):
+class Crossing(FleetProcessTest):
     """Connections of the test's own, besides the load."""
 
     def dial(self, member: Member, data: bytes = b"") -> socket.socket:
--- a/tests/test_drain_processes.py
+++ b/tests/test_drain_processes.py
@@ -13,13 +13,13 @@
 from typing import ClassVar
 
 from tests.drain_discovery import BUSY, SLOW, Form, Kind, Reply, SharedDiscovery
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, START_S, FleetStage, Member
-from tests.peers import WAIT
+from tests.drain_fleet import ALL_TOLD_S, DRAINED, START_S, FleetProcessTest, Member
+from tests.loopback_servers import WAIT
 
 JUDGED_S = 1.0  # so long after the last moment of telling the load still goes on
 
 
-class Outage(FleetStage):
+class Outage(FleetProcessTest):
     """Discovery refuses connections for 8 s and ends all watches."""
 
     def test_calls_that_fail_after_an_outage_and_a_start_with_an_old_list_in_it(self) -> None:
@@ -42,7 +42,7 @@
         self.judge_recovered(told)
 
 
-class Silence(FleetStage):
+class Silence(FleetProcessTest):
     """Watches that tell nothing, though their connections stand; what tells at last is a whole list."""
 
     forms: ClassVar[tuple[Form, ...]] = (Form.WHOLE,)
@@ -80,7 +80,7 @@
         self.judge_recovered(told)
 
 
-class Moves(FleetStage):
+class Moves(FleetProcessTest):
     """SIGHUP names another discovery, the first one, and the other one again."""
 
     def setUp(self) -> None:
--- a/tests/test_wishes.py
+++ b/tests/test_drain_reasons.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lupinlink.net.wishes import Wishes
+from lupinlink.net.drain_reasons import DrainReasons
 
 WHO = st.sampled_from(["operator", "release", "migration"])
 
@@ -20,7 +20,7 @@
         turns.append("in")
         return True
 
-    wishes = Wishes(lambda: turns.append("out"), back)
+    wishes = DrainReasons(lambda: turns.append("out"), back)
     wanted: set[str] = set()
     for who, out in asked:
         (wanted.add if out else wanted.discard)(who)
--- a/tests/test_drain_restarts.py
+++ b/tests/test_drain_restarts.py
@@ -12,16 +12,16 @@
 
 from tests.discovery_replies import BUSY, Form, Kind, Reply
 from tests.drain_discovery import CUT_S
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, FleetStage, Member
+from tests.drain_fleet import ALL_TOLD_S, DRAINED, FleetProcessTest, Member
 from tests.drain_script import Change, OutageOf, Restart, Script
-from tests.peers import WAIT
+from tests.loopback_servers import WAIT
 from tests.test_drain_faults import Forced
 
 JUDGED_S = 1.0  # so long after the last moment of telling the load still goes on
 UNTIL_KILL_S, AWAY_S = 2.4, 1.1  # a silent watch is not taken for broken before the kill
 
 
-class LargeFleet(FleetStage):
+class LargeFleet(FleetProcessTest):
     """The settings tell of forty processes: their first calls to discovery are spread widely."""
 
     peers: ClassVar[int] = 40
@@ -53,7 +53,7 @@
         self.judge_recovered(told)
 
 
-class CutShort(FleetStage):
+class CutShort(FleetProcessTest):
     """Discovery has written a delta, but only its first bytes come, and then a reset."""
 
     def test_the_first_bytes_of_a_delta_and_a_reset_half_a_second_later(self) -> None:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -10,7 +10,7 @@
 
 import lupinlink
 from lupinlink.errors import LupinError, kinds
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 PAGE = ROOT / "docs" / "operators" / "errors.md"
 HEAD = """# Errors by code
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 from tempfile import TemporaryDirectory
 
 from lupinlink.lab import library, page, results
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 LONG = 100.0  # a whole fleet, on a busy machine
 
--- a/tests/test_fleet_agreed.py
+++ b/tests/test_fleet_agreed.py
@@ -15,7 +15,7 @@
 from lupinlink.lab.fleet_desk import FAULTS
 from lupinlink.lab.library import LibraryError
 from lupinlink.lab.model.agreement import Agreement
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 LONG = 100.0  # a whole fleet, on a busy machine
 PLAY = """include = ["{base}"]
--- a/tests/test_fleet_consul.py
+++ b/tests/test_fleet_consul.py
@@ -14,7 +14,7 @@
 
 import aiohttp
 
-from tests.stage import ROOT, WAIT
+from tests.proxy_process import ROOT, WAIT
 
 TTL_S = 0.3
 
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -15,7 +15,7 @@
 from lupinlink.config.files import load_fleet
 from lupinlink.config.fleet import AgreementSettings, MemberSettings, read_fleet
 from lupinlink.errors import LupinError
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 
 class PartError(LupinError):
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -28,7 +28,7 @@
 from lupinlink.lab.model.windows import FleetSecond, ServerSecond
 from lupinlink.lab.model.witnesses import Hearing, Witness
 from lupinlink.lab.model.world import World
-from tests.stage import WAIT
+from tests.proxy_process import WAIT
 
 SILENT_S = 0.3  # a connect that has not come up by then on loopback is dropped
 
--- a/tests/test_fleet_serve.py
+++ b/tests/test_fleet_serve.py
@@ -13,10 +13,10 @@
 
 from lupinlink.commands import serve
 from tests.agreements import StandIn
-from tests.stage import WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, row
 
 
-class Fleet(Stage):
+class Fleet(ProxyProcessTest):
     module: ClassVar[str] = "tests.loaded_modules"
 
     @classmethod
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from lupinlink.net.handover.messages import HandoverError, Reader, line, refusal
 from lupinlink.net.handover.room import LEAST_BESIDE, Held, Limits, held, reserve, room, shrunk
 from lupinlink.net.handover.upgrade import ANSWER_MS, WAIT_MS, Upgrade
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 
 class Link:
@@ -170,7 +170,7 @@
         self.assertLessEqual(both, max(sockets, told.descriptors + reserve(limits) + LEAST_BESIDE))
 
 
-class Upgraded(Stage):
+class Upgraded(ProxyProcessTest):
     """An old process that serves, and a folder that both share."""
 
     def setUp(self) -> None:
--- a/tests/test_held.py
+++ b/tests/test_held_by_front.py
@@ -11,7 +11,7 @@
 import threading
 import time
 
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 EXPIRES_MS = 2000  # the class's hard limit in the shared settings
 SLACK_S = 0.5  # an answer later than this beyond its client's time is lost
@@ -23,7 +23,7 @@
         return int(probe.getsockname()[1])
 
 
-class HeldByTheFront(Stage):
+class HeldByTheFront(ProxyProcessTest):
     def serve(self, *ports: int) -> list[subprocess.Popen[str]]:
         """Processes on these addresses, started together; once each of them serves."""
         rows = [row("s-1", self.silent)]
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -11,7 +11,7 @@
 
 from lupinlink.interface import Endpoint
 from lupinlink.net.application_servers import ApplicationServers
-from lupinlink.net.application_servers.idle_connections import IdleConnections, Rested
+from lupinlink.net.application_servers.idle_connections import IdleConnections, PooledConnection
 from lupinlink.net.application_servers.pool import Pool
 from lupinlink.net.counters import Counters
 from lupinlink.settings import Settings
@@ -36,12 +36,12 @@
     for number, (step, value) in enumerate(steps):
         if step == "add":
             plain.append(Connection(number, float(value)))
-            idle.add(cast(Rested, plain[-1]))
+            idle.add(cast(PooledConnection, plain[-1]))
         elif step == "remove" and plain:
-            idle.remove(cast(Rested, plain.pop(value % len(plain))))
+            idle.remove(cast(PooledConnection, plain.pop(value % len(plain))))
         due = [one for one in plain if one.idle_since <= value]
         expected = min(due, key=lambda one: (one.idle_since, one.handle), default=None)
-        assert idle.oldest(float(value)) is cast(Rested | None, expected)
+        assert idle.oldest(float(value)) is cast(PooledConnection | None, expected)
         assert len(idle) == len(plain)
     assert idle.oldest(-math.inf) is None
 
@@ -62,11 +62,11 @@
     settings = Settings(classes=(SAFE,), idle_close_ms=1000.0)
     servers = ApplicationServers(cast(Any, seen), cast(Any, seen), settings, 8, Counters())
     servers._pools = pools = WatchedPools()
-    servers.learn([(Endpoint(f"s-{i}"), "127.0.0.1", 1) for i in range(100)], False)
+    servers.update_list([(Endpoint(f"s-{i}"), "127.0.0.1", 1) for i in range(100)], False)
     begin, connections = seen.time, [Connection(i, seen.time + 10.0 * i) for i in range(100)]
     for number, connection in enumerate(connections):
         connection.pool = pools[f"s-{number}"]
-        connection.pool.rest(cast(Rested, connection))
+        connection.pool.rest(cast(PooledConnection, connection))
     seen.until(begin + 1000.0)
     assert [one.dropped for one in connections] == [one.idle_since <= begin + 400.0 for one in connections]
     assert servers.gauges()["server_connections_idle"] == 59 and pools.passes == 0
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -25,7 +25,7 @@
 from lupinlink.lab.model.streams import Streams
 from lupinlink.lab.virtual import VirtualDrive
 from lupinlink.net.proxy import Proxy
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 
 def erlang_b(load: float, places: int) -> float:
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -17,7 +17,7 @@
 from lupinlink.lab import comparing, herd, library, page, results
 from lupinlink.lab.library import LibraryError
 from lupinlink.lab.virtual import VirtualDrive
-from tests.stage import ROOT, WAIT
+from tests.proxy_process import ROOT, WAIT
 
 SMALL = ["--set=seconds=4", "--set=load.rate=100"]
 BAD: dict[str, tuple[str, str, str]] = {  # in the file, the key and the reason told
--- a/tests/test_list_input.py
+++ b/tests/test_list_input.py
@@ -9,7 +9,7 @@
 
 from lupinlink.interface import EndpointState
 from lupinlink.net.lists import MAX_LIST, ListError
-from tests.stage import chunk
+from tests.proxy_process import chunk
 from tests.told_lists import HEAD, WRONG, Told, entry, whole_answer, without
 
 
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -12,7 +12,7 @@
 from lupinlink.net import list_reader
 from lupinlink.net.list_entries import read_entry
 from lupinlink.net.list_keeper import SLICE_ENTRIES
-from tests.stage import chunk
+from tests.proxy_process import chunk
 from tests.told_lists import HEAD, Told, entry
 
 MANY = 6400
--- a/tests/test_many_backends.py
+++ b/tests/test_many_backends.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from tests.discovery_replies import Reply
+from tests.loopback_servers import NEVER_RAN
 from tests.many_backends import ManyBackendsStage
-from tests.peers import NEVER_RAN
 
 SERVED_LEAST = 0.85  # share, of what is served while no list comes
 
--- a/tests/test_rude.py
+++ b/tests/test_misbehaving_peers.py
@@ -9,12 +9,12 @@
 import time
 from typing import Any, ClassVar
 
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 HEAD = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: "
 
 
-class RudeClients(Stage):
+class RudeClients(ProxyProcessTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 128}
 
     def setUp(self) -> None:
@@ -85,7 +85,7 @@
         self.assertLess(now["module_timers"] + now["timers"], 20)
 
 
-class BadAnswers(Stage):
+class BadAnswers(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.servers = [self.peer(ApplicationServer()) for _ in range(2)]
@@ -138,7 +138,7 @@
             self.own(6)
 
 
-class BehindAnAnswer(Stage):
+class BehindAnAnswer(ProxyProcessTest):
     def test_a_connection_that_has_ended_or_brought_more_since_is_not_used_again(self) -> None:
         # The proxy has not read them yet when the next request comes: these bytes would be its answer. So it
         # stands still until both are there.
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -21,7 +21,7 @@
 from lupinlink.net.deadlines import STALE_FLOOR, Deadlines
 from lupinlink.net.lists import number
 from lupinlink.net.log import pair
-from lupinlink.net.proxy import AttemptEnd, Call, Failure, Proxy, Reply
+from lupinlink.net.proxy import AttemptResult, ClientRequest, FailureReason, Proxy, Reply
 from lupinlink.net.slots import Slots
 from lupinlink.net.wheel import SPOKES, TICK_MS, Clockwork, Wheel
 from lupinlink.settings import Effect, RequestClass, Scope, Settings
@@ -44,12 +44,12 @@
             while (message := parser.next()) is not None:
                 got.append((message.target, message.body, message.keeps_open()))
         self.assertEqual(got, [("/a", b"abc", True), ("/b", b"def", True), ("/c", b"", True)])
-        self.assertFalse(parser.begun())
+        self.assertFalse(parser.started())
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.binary(max_size=200), st.booleans())
     def test_noise_is_a_plain_error_or_waits_for_more(self, noise: bytes, head: bool) -> None:
-        for parser in (http1.RequestParser(), http1.AnswerParser()):
+        for parser in (http1.RequestParser(), http1.ResponseParser()):
             parser.feed((b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if head else b"") + noise)
             try:
                 parser.next()
@@ -57,8 +57,8 @@
                 self.assertIn(exc.status, http1.REASONS)
 
     def test_what_an_answer_says(self) -> None:
-        def end(text: bytes) -> AttemptEnd:
-            parser = http1.AnswerParser()
+        def end(text: bytes) -> AttemptResult:
+            parser = http1.ResponseParser()
             parser.feed(
                 text + b"\r\nContent-Length: 0\r\nEndpoint-Load-Metrics: TEXT util=0.5, qps=x\r\n\r\n"
             )
@@ -138,7 +138,7 @@
     def refused(self, retry_after_ms: float, over_quota: bool = False) -> None:
         self.answers.append("refused")
 
-    def failed(self, why: Failure) -> None:
+    def failed(self, why: FailureReason) -> None:
         self.answers.append(why.name)
 
 
@@ -146,15 +146,15 @@
     """A pass that ends when the test says so."""
 
     def __init__(self) -> None:
-        self.ended: Deferred[AttemptEnd] = Deferred()
+        self.ended: Deferred[AttemptResult] = Deferred()
 
     def give_up(self, status: Status) -> None:
-        self.ended.callback(AttemptEnd(status))
+        self.ended.callback(AttemptResult(status))
 
-    def recall(self) -> None:
+    def cancel_if_unsent(self) -> None:
         """It has been sent."""
 
-    def end_by(self, at_ms: float) -> None:
+    def set_deadline(self, at_ms: float) -> None:
         raise NotImplementedError
 
 
@@ -164,13 +164,13 @@
         self.timeouts: list[float] = []
 
     def start(
-        self, server: str, call: Call, timeout_ms: float, begin_by_ms: float, wanted: Callable[[], bool]
+        self, server: str, call: ClientRequest, timeout_ms: float, begin_ms: float, wanted: Callable[[], bool]
     ) -> Held:
         self.timeouts.append(timeout_ms)
         self.passes.append(Held())
         return self.passes[-1]
 
-    def probe(self, server: str) -> Deferred[AttemptEnd]:
+    def probe(self, server: str) -> Deferred[AttemptResult]:
         raise NotImplementedError
 
 
@@ -182,13 +182,15 @@
         told = Settings(classes=(keyed,), max_attempts=3, may_cancel=True)
         clock = Clockwork(reactor)
         self.proxy = Proxy(told, 1, clock, self.servers, lambda: None, self.counters)
-        self.proxy.news(MembershipKind.FULL, [Endpoint("a")])
+        self.proxy.membership_changed(MembershipKind.FULL, [Endpoint("a")])
 
-    def offer(self, waited_ms: float = 0.0) -> int | None:
-        call = Call(f"t{waited_ms}", 0, 0, 900.0, False, "POST", "/", [], Body.of(b""), waited_ms=waited_ms)
-        return self.proxy.take(call, self.side)
+    def offer(self, waited: float = 0.0) -> int | None:
+        call = ClientRequest(
+            f"t{waited}", 0, 0, 900.0, False, "POST", "/", [], Body.of(b""), waited_ms=waited
+        )
+        return self.proxy.submit(call, self.side)
 
-    def take(self) -> int:
+    def submit(self) -> int:
         handle = self.offer()
         assert handle is not None
         return handle
@@ -198,7 +200,7 @@
         now = clock.now()
         clock.now = lambda: now  # it stands still: on a busy machine half a ms could pass
         self.offer()  # read as it came: all of its time, bar the margin for the answer's way
-        self.servers.passes[0].ended.callback(AttemptEnd(Status.OK, Reply([], b"")))
+        self.servers.passes[0].ended.callback(AttemptResult(Status.OK, Reply([], b"")))
         self.offer(600.0)  # waited in the kernel's queue while the proxy was crowded
         self.offer(math.inf)  # held by a front before this process was there: nothing is known to be left
         self.assertEqual([round(t) for t in self.servers.timeouts], [880, 280])
@@ -207,40 +209,40 @@
     def test_an_internal_error_still_gives_a_whole_answer(self) -> None:
         self.proxy._module.arrived = lambda request, now: 1 / 0  # type: ignore[method-assign,assignment]
         with self.assertLogs("lupinlink.net.proxy"):
-            self.take()
+            self.submit()
         self.assertEqual((self.side.answers, self.proxy.open), (["INTERNAL"], 0))
 
     def test_a_module_that_breaks_on_an_outcome_does_not_lose_the_request(self) -> None:
-        self.take()
+        self.submit()
         self.proxy._module.ended = lambda *args: 1 / 0  # type: ignore[method-assign,assignment]
         with self.assertLogs("lupinlink.net.proxy"):
-            self.servers.passes[0].ended.callback(AttemptEnd(Status.RESET))
+            self.servers.passes[0].ended.callback(AttemptResult(Status.RESET))
         self.assertEqual(self.side.answers, ["INTERNAL"])
 
     def test_only_one_answer_and_nothing_for_a_client_that_left(self) -> None:
-        self.take()
-        self.servers.passes[0].ended.callback(AttemptEnd(Status.OK, Reply([], b"")))
+        self.submit()
+        self.servers.passes[0].ended.callback(AttemptResult(Status.OK, Reply([], b"")))
         self.assertEqual(self.side.answers, ["served"])
-        gone = self.take()
-        self.proxy.gone(gone)
+        gone = self.submit()
+        self.proxy.client_left(gone)
         self.assertEqual(self.servers.passes[1].ended.called, True)  # given up
-        self.proxy.end(gone, Failure.TOO_LATE)
+        self.proxy.end(gone, FailureReason.TOO_LATE)
         self.assertEqual((self.side.answers, self.counters["clients_gone"]), (["served"], 1))
 
     def test_a_call_is_settled_once_though_an_answer_crosses_its_end(self) -> None:
         settled: list[str] = []
-        self.proxy.settled = lambda call: settled.append(call.identity)
-        handle, crossing = self.take(), self.servers.passes[0]
+        self.proxy.on_settled = lambda call: settled.append(call.identity)
+        handle, crossing = self.submit(), self.servers.passes[0]
         crossing.give_up = lambda status: None  # type: ignore[method-assign]
-        self.proxy.gone(handle)
-        crossing.ended.callback(AttemptEnd(Status.OK, Reply([], b"")))
+        self.proxy.client_left(handle)
+        crossing.ended.callback(AttemptResult(Status.OK, Reply([], b"")))
         self.assertEqual(settled, ["t0.0"])
 
     def test_what_the_module_leaves_open_is_ended(self) -> None:
-        handle = self.take()
+        handle = self.submit()
         with self.assertLogs("lupinlink.net.proxy"):
             self.proxy.end_all()
-            self.proxy.end(handle, Failure.TOO_LATE)
+            self.proxy.end(handle, FailureReason.TOO_LATE)
         self.assertEqual(self.side.answers, ["TOO_LATE"])
 
 
--- a/tests/test_news_before_write.py
+++ b/tests/test_news_before_write.py
@@ -16,18 +16,18 @@
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
 from lupinlink.net.lists import MAX_LIST
+from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.socket_peek import peek
-from lupinlink.net.terms import AttemptEnd
 from lupinlink.settings import Settings
 from tests.helpers import SAFE
-from tests.one_turn import OneTurn, news_that
-from tests.stage import WAIT, ApplicationServer, Discovery, Stage, chunk, listing, row
+from tests.manual_reactor import ManualReactorTest, news_that
+from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 CLIENTS = 60
 TOLD_S = 0.3  # so long after the news no first byte may go out, the slack of sockets included
 
 
-class HeededLast(OneTurn):
+class HeededLast(ManualReactorTest):
     """The news comes in the last look, behind all checks that were made before."""
 
     def changes(self) -> dict[str, Callable[[], None]]:
@@ -35,15 +35,15 @@
         return {
             "drained": self.drain,
             "gone": lambda: self.learn(EndpointState.GONE),
-            "left out of a whole list": lambda: self.servers.learn([], True),
+            "left out of a whole list": lambda: self.servers.update_list([], True),
             "at another address": lambda: self.learn(address=elsewhere),
             "another process": lambda: self.learn(started_ms=2.0),
         }
 
-    def checked(self, begin: Callable[[], list[AttemptEnd]], kept: bool) -> None:
+    def checked(self, begin: Callable[[], list[AttemptResult]], kept: bool) -> None:
         for name, change in self.changes().items():
             with self.subTest(name):
-                self.servers.learn([], True)
+                self.servers.update_list([], True)
                 self.loop.learn()
                 server = self.loop.kept()[0] if kept else None
                 before = self.servers.counters["attempts_not_begun"]
@@ -62,8 +62,8 @@
                         self.end_of(server), b""
                     )  # its connection is closed, and brought nothing
 
-    def probe(self) -> list[AttemptEnd]:
-        ends: list[AttemptEnd] = []
+    def probe(self) -> list[AttemptResult]:
+        ends: list[AttemptResult] = []
         self.servers.probe("s-1").addCallback(ends.append)
         return ends
 
@@ -97,7 +97,7 @@
         self.assertEqual((self.came(server), connection.pool.idle), (b"", [connection]))
 
 
-class WaitsUnread(OneTurn):
+class WaitsUnread(ManualReactorTest):
     """News lies in a watch's socket while the turn of the reactor starts an attempt."""
 
     def setUp(self) -> None:
@@ -177,7 +177,7 @@
         self.assertEqual(ends, [])
 
 
-class ToldInOneSegment(Stage):
+class ToldInOneSegment(ProxyProcessTest):
     def test_a_held_request_is_not_sent_by_one_object_to_what_the_next_one_drains(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start()
@@ -193,7 +193,7 @@
         self.assertEqual((old.seen.qsize(), new.seen.qsize()), (0, 1))
 
 
-class StoodStill(Stage):
+class StoodStill(ProxyProcessTest):
     def test_what_was_told_while_the_process_stood_still_goes_before_requests_that_came_first(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", old), row("s-2", new))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
     Lifecycle,
     Stand,
 )
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 
 class States(unittest.TestCase):
@@ -96,7 +96,7 @@
         self.assertLess(self.play("bulk", 1, memory_mb=48.0).memory_mb, 48.0)
 
 
-class Operated(Stage):
+class Operated(ProxyProcessTest):
     """A proxy with a door, and calls on it."""
 
     def setUp(self) -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -11,21 +11,21 @@
 import unittest
 from typing import Any, ClassVar
 
-from tests.stage import (
+from tests.proxy_process import (
     BROKEN_BYTES,
     NEVER_RAN,
     OK,
     SETTINGS,
     WAIT,
     ApplicationServer,
-    Stage,
+    ProxyProcessTest,
     chunk,
     listing,
     row,
 )
 
 
-class Serving(Stage):
+class Serving(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.server = self.peer(ApplicationServer())
@@ -101,7 +101,7 @@
         self.assertEqual(self.server.accepted, 2)
 
 
-class BadInput(Stage):
+class BadInput(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.server = self.peer(ApplicationServer())
@@ -145,7 +145,7 @@
         self.assertTrue(self.raw(head + b"x" * 34000000).startswith(b"HTTP/1.1 413 "))
 
 
-class Passes(Stage):
+class Passes(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.servers = [self.peer(ApplicationServer()) for _ in range(2)]
@@ -225,7 +225,7 @@
         met.ends.get(timeout=WAIT)
 
 
-class WarmKeys(Stage):
+class WarmKeys(ProxyProcessTest):
     settings: ClassVar[dict[str, Any]] = {"FamilyInfo": {"WarmKeys": True}}
 
     def test_requests_about_one_key_meet_one_server(self) -> None:
@@ -239,7 +239,7 @@
         self.assertTrue(all(s.seen.qsize() for s in servers))
 
 
-class Hanging(Stage):
+class Hanging(ProxyProcessTest):
     def test_requests_on_a_silent_server_go_elsewhere_long_before_their_deadline(self) -> None:
         # A machine that is cut off keeps its connections and says nothing.
         silent, sound = self.peer(ApplicationServer(None)), [self.peer(ApplicationServer()) for _ in range(2)]
@@ -257,7 +257,7 @@
         self.assertEqual(silent.seen.qsize(), before)  # left out
 
 
-class Unreachable(Stage):
+class Unreachable(ProxyProcessTest):
     def test_a_connection_that_never_comes_up_never_ran(self) -> None:
         # A machine that vanished says nothing: the dial must end by itself, and the request go elsewhere.
         full = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -275,7 +275,7 @@
         self.assertIn('why="too slow"', self.line("out of reach"))
 
 
-class IdlePools(Stage):
+class IdlePools(ProxyProcessTest):
     settings: ClassVar[dict[str, Any]] = {"Limits": {**SETTINGS["Limits"], "IdleCloseMs": 2000.0}}
 
     def test_idle_connections_are_closed_well_before_the_application_server_would(self) -> None:
@@ -289,7 +289,7 @@
         self.assertEqual(self.ask().read(), b"ok")
 
 
-class FarmNews(Stage):
+class FarmNews(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.old, self.new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
@@ -348,7 +348,7 @@
         self.assertTrue(2.0 < time.monotonic() - began < 5.0)
 
 
-class Stopping(Stage):
+class Stopping(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.server = self.peer(ApplicationServer(None))
@@ -405,7 +405,7 @@
         self.assertEqual((lost, self.process.wait(WAIT)), ([], 0))
 
 
-class FewSockets(Stage):
+class FewSockets(ProxyProcessTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
 
     def test_idle_clients_make_room(self) -> None:
@@ -445,7 +445,7 @@
         self.assertEqual((statuses.count(503), statuses.count(504), server.seen.qsize()), (2, 18, 18))
 
 
-class CommandLine(Stage):
+class CommandLine(ProxyProcessTest):
     def result(self, config: object, *words: str) -> tuple[int, str, str]:
         process = self.program(config, *words)
         out, err = process.communicate(timeout=WAIT)
--- a/tests/test_queue_wait.py
+++ b/tests/test_queue_wait.py
@@ -32,7 +32,7 @@
 
     def test_a_listener_that_is_left_forgets_the_look_before(self) -> None:
         self.queue.looked(100.0, 1)
-        self.queue.left(110.0)
+        self.queue.reading_stopped(110.0)
         self.queue.accepted()
         self.assertEqual(self.queue.waited_ms(130.0), 20.0)
 
--- a/tests/test_quota_language.py
+++ b/tests/test_quota_language.py
@@ -18,8 +18,8 @@
 from lupinlink.quota.model import Asked, Expect, Policy, Schedule
 from lupinlink.quota.reach import Known
 from lupinlink.quota.schedules import easter, holding, holds, together
+from tests.proxy_process import SETTINGS
 from tests.quota_reference import CLASSES, TENANTS, ZONES, asks, policies
-from tests.stage import SETTINGS
 
 KNOWN = Known(CLASSES, TENANTS, ZONES, 2000.0, True)
 EXAMPLE = Path(__file__).resolve().parent.parent / "deploy" / "quota.policy"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from tests.stage import WAIT, ApplicationServer, Discovery, Stage, chunk, listing, row
+from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 
-class Moving(Stage):
+class Moving(ProxyProcessTest):
     """One discovery that is watched, and another one to move to."""
 
     def setUp(self) -> None:
@@ -69,7 +69,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
-class LittleMemory(Stage):
+class LittleMemory(ProxyProcessTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 256}
 
     def test_it_serves_within_the_least_memory_that_proxies_have(self) -> None:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -11,7 +11,7 @@
 from typing import Any, ClassVar
 
 from lupinlink.limits.returns import ADDRESSES, SPARED_EACH, Ended, Rest, Returns, price
-from tests.stage import WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, row
 
 CROWDED = 0.6  # share of places in use
 
@@ -79,7 +79,7 @@
         self.assertEqual(len(self.returns), ADDRESSES)
 
 
-class Crowd(Stage):
+class Crowd(ProxyProcessTest):
     """Clients may hold only so many connections, and most ask once and let theirs rest."""
 
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 80, "sockets": 128}  # room for 57
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -10,12 +10,12 @@
 from typing import Any, ClassVar
 
 from tests import test_operations
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 ZONED: dict[str, Any] = {"az": "b"}
 
 
-class Fleet(Stage):
+class Fleet(ProxyProcessTest):
     """A proxy with a fleet side, and two application servers."""
 
     module: ClassVar[str] = "tests.fleet_side"
--- a/tests/test_pieces.py
+++ b/tests/test_split_messages.py
@@ -9,7 +9,7 @@
 
 from lupinlink.limits.progress import GRACE_MS, RATE, STILL_MS, Progress
 from lupinlink.net import http1
-from lupinlink.net.bodies import SMALL_BYTES, WHOLE_BYTES, Body, Budget
+from lupinlink.net.bodies import SMALL_BYTES, WHOLE_BYTES, Body, BodyBudget
 
 FORMS = [
     b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -32,13 +32,13 @@
                 bodies.append(body + message.body)
                 body = b""
                 self.assertEqual(message.target, "/a")
-            body += parser.drain() if parser.head is not None else b""
+            body += parser.take_body() if parser.head is not None else b""
         self.assertEqual(bodies, [b"abcdefg" if form.startswith(b"POST") else b"" for form in forms])
 
     def test_the_answer_to_a_head_has_no_body_whatever_it_says(self) -> None:
         for framing in (b"Content-Length: 5", b"Transfer-Encoding: chunked", b"X: y"):
-            parser = http1.AnswerParser()
-            parser.asked_for_head = True
+            parser = http1.ResponseParser()
+            parser.for_head_request = True
             parser.feed(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n")
             message = parser.next()
             assert message is not None
@@ -48,7 +48,7 @@
     def test_a_body_is_read_as_it_came_and_the_budget_is_even_at_the_end(
         self, pieces: list[bytes], data: st.DataObject
     ) -> None:
-        budget = Budget(400_000)
+        budget = BodyBudget(400_000)
         body, got, said = Body(budget, None), b"", list[bool]()
         body.committed = lambda: said.append(body.repeatable)
         for piece in pieces:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 
 from lupinlink.spread.aperture import COVER, Aperture
 from lupinlink.spread.keys import BOUND, REMEMBERED, Homes
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 PROXIES, SERVERS, KEYS = 60, 200, 500  # of 200 proxies: enough to show it
 MOST = 8
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,14 +10,14 @@
 from typing import Any, ClassVar
 
 from lupinlink.net import http1
-from tests.stage import NEVER_RAN, OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import NEVER_RAN, OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 MB = 1024 * 1024
 MOST_DRAWS = 40  # a server of two that is fit is drawn by then, whatever the seed
 POST = b"POST /scan/1 HTTP/1.1\r\nX-Trace-Id: %b\r\nIdempotency-Key: k\r\n"
 
 
-class Streams(Stage):
+class Streams(ProxyProcessTest):
     """A proxy under limits that would not hold two bodies of 32 MB."""
 
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -22,7 +22,7 @@
 from lupinlink.net.lists import MAX_LIST, ListError, Objects
 from tests import test_reload
 from tests.helpers import SAFE, Stand
-from tests.stage import WAIT, ApplicationServer, Stage, chunk, listing, row
+from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, chunk, listing, row
 
 TOLD_MS = 300.0  # a server has to be left alone so long after the news, the slack of sockets included
 CALL_MS = 2000.0  # a call that is answered takes so long at most
@@ -162,7 +162,7 @@
             Objects().feed(b'{"a":\n' + b" " * MAX_LIST)
 
 
-class Silent(Stage):
+class Silent(ProxyProcessTest):
     def test_a_watch_that_falls_silent_is_logged_and_asked_anew_in_time(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", old))
@@ -178,7 +178,7 @@
         self.assertLess(time.monotonic() - began, 6.0)  # by then all that it missed counts as told
 
 
-class Pushed(Stage):
+class Pushed(ProxyProcessTest):
     """Lists are pushed: what discovery's agent has counts at once, whether or not a watch is open."""
 
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -12,16 +12,16 @@
 
 from lupinlink.interface import Status
 from lupinlink.net.application_servers.dialling import Dial
-from lupinlink.net.application_servers.sending import Sending
+from lupinlink.net.application_servers.sending import SendingConnection
 from lupinlink.net.bodies import SMALL_BYTES
-from lupinlink.net.terms import AttemptEnd
-from tests.one_turn import OneTurn, news_that
-from tests.stage import NEVER_RAN, OK, WAIT
+from lupinlink.net.request_types import AttemptResult
+from tests.manual_reactor import ManualReactorTest, news_that
+from tests.proxy_process import NEVER_RAN, OK, WAIT
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
 
 
-class WrittenAtOnce(OneTurn):
+class WrittenAtOnce(ManualReactorTest):
     def test_a_request_on_a_kept_connection_is_out_before_the_turn_goes_on(self) -> None:
         server, _ = self.loop.kept()
         _, ends = self.loop.attempt(b"body")
@@ -85,7 +85,7 @@
             self.loop.unread(connection)
 
         # Behind every look: only the write itself meets it.
-        with patch.object(Sending, "_ends_unasked", lambda sending: reset()):
+        with patch.object(SendingConnection, "_ends_unasked", lambda sending: reset()):
             _, ends = self.loop.attempt()
         self.assertEqual(ends, [])
         self.loop.turn_until(lambda: ends)
@@ -94,10 +94,10 @@
         self.loop.close_all()
 
 
-class EndedLast(OneTurn):
+class EndedLast(ManualReactorTest):
     """Its server ends, or says something, between the look at the kept connection and the write."""
 
-    def crossed(self, cross: Callable[[socket.socket], object]) -> tuple[socket.socket, list[AttemptEnd]]:
+    def crossed(self, cross: Callable[[socket.socket], object]) -> tuple[socket.socket, list[AttemptResult]]:
         server, connection = self.loop.kept()
 
         def between() -> None:
--- a/tests/told_lists.py
+++ b/tests/told_lists.py
@@ -24,8 +24,8 @@
 from lupinlink.net.wheel import Clockwork
 from lupinlink.settings import Settings
 from tests.helpers import SAFE
+from tests.proxy_process import chunk
 from tests.recorded_reactor import Recorded
-from tests.stage import chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WRONG: tuple[Any, ...] = (None, True, -1, 1.5, float("nan"), float("inf"), 10**400, "", "\x00", "\ud800", [],
