--- a/lupinlink/net/clients/requests.py
+++ b/lupinlink/net/clients/requests.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure as Reason
 
-from lupinlink.limits.progress import Progress
+from lupinlink.limits.body_progress import BodyProgress
 from lupinlink.net import http1
 from lupinlink.net.clients.connection import ConnectionOwner, IncomingRequest
 from lupinlink.net.clients.phases import Phase
@@ -173,13 +173,13 @@
             self._know(head)
             call = self._read(head, head.target.partition("?")[0])
             call.body.length = self._parser.length
-            intake = self._intake = IncomingRequest(call, Progress(now))
+            intake = self._intake = IncomingRequest(call, BodyProgress(now))
             call.body.room = lambda: self._go_on(intake)
             if (head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, data = intake.call.body, self._parser.take_body()
         if data:
-            intake.progress.came(len(data), now)
+            intake.progress.received(len(data), now)
             body.add(data)
         if not self._waiting:
             if self._clients.budget.spent:
@@ -191,13 +191,13 @@
                 self._clients.uploading[self] = None
                 self._give(intake.call)
         if body.full and self._intake is not None:
-            intake.progress.hold(now)
+            intake.progress.pause(now)
             self._read_on("body", False)
 
     def _go_on(self, intake: IncomingRequest) -> None:
         """There is room for more of the body."""
         if self._intake is intake:
-            intake.progress.go_on(self._clients.clock.now())
+            intake.progress.resume(self._clients.clock.now())
             self._read_on("body", True)
 
     def _received(self, intake: IncomingRequest, data: bytes) -> None:
--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -197,7 +197,9 @@
         side = self._settle(taken)
         if side is not None:
             self._turn_away(
-                side, RefusalReason.NEVER_RAN, min(self._settings.max_retry_after_ms, cls.aim_ms / 2.0)
+                side,
+                RefusalReason.NEVER_RAN,
+                min(self._settings.max_retry_after_ms, cls.target_latency_ms / 2.0),
             )
 
     def _attempt_broken(self, failure: object, handle: int) -> None:
