--- a/tests/counted_servers.py
+++ b/tests/counted_servers.py
@@ -1,4 +1,4 @@
-"""A node whose servers count how often they are asked for anything."""
+"""A node whose server records count how often their attributes are read."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CountedServer(Server):
-    """Counts each read of a figure of any server."""
+    """Counts attribute reads over all servers."""
 
     reads = 0
 
@@ -24,7 +24,7 @@
 
 
 class CountedNodeHarness(NodeHarness):
-    """A node with so many backends; times are Unix time, as on sockets."""
+    """A node with ``backends`` backends; times are Unix time in ms, as on sockets."""
 
     def __init__(self, settings: Settings, backends: int, started_ms: float = 0.0) -> None:
         with ExitStack() as patches:
@@ -37,23 +37,23 @@
             ]
             self.discover(rows)
             self.rng = Random(1)
-            for i in range(50):  # whatever is drawn up at first is not counted
-                self.answer(f"warm-{i}", self.ask(f"warm-{i}"))
+            for i in range(50):  # work done only once is not counted
+                self.finish_all(f"warm-{i}", self.ask(f"warm-{i}"))
 
-    def answer(self, name: str, actions: list[api.Action], status: api.Status = api.Status.OK) -> None:
-        """Have its attempts end so, 20 ms later."""
+    def finish_all(self, name: str, actions: list[api.Action], status: api.Status = api.Status.OK) -> None:
+        """End the attempts among ``actions`` with ``status``, 20 ms later each."""
         for action in actions:
             if isinstance(action, api.Send):
                 self.advance_to(self.now + 20.0)
                 self.end(name, status, action.endpoint)
 
-    def one_changes(self, number: int) -> None:
-        """News of one backend."""
+    def update_endpoint(self, number: int) -> None:
+        """Update one backend of the list."""
         self.discover([Endpoint(f"s-{number}", cell=number % 40, size_hint=2.0)], MembershipKind.DELTA)
 
 
-def reads_of(work: Callable[[], None]) -> int:
-    """How often servers were asked for anything meanwhile."""
+def count_reads(work: Callable[[], None]) -> int:
+    """Attribute reads of servers while ``work`` runs."""
     before = CountedServer.reads
     work()
     return CountedServer.reads - before
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A tiny stand for a node: keeps its timers and answers, and checks the rules as it goes."""
+"""A harness that drives one decision module by hand, with its timers and a log of its actions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NodeHarness:
-    """Drives one node by hand."""
+    """Drives one node: passes events, fires timers and keeps all actions in ``log``."""
 
     def __init__(self, settings: Settings, names: str = "abcd", seed: int = 1) -> None:
         self.node = Balancer(settings, Random(seed))
@@ -29,23 +29,25 @@
         self.log += actions
         return actions
 
-    def discover(self, rows: list[Endpoint], kind: MembershipKind = MembershipKind.FULL) -> list[api.Action]:
-        return self.handle(api.Membership(kind, rows))
+    def discover(
+        self, endpoints: list[Endpoint], kind: MembershipKind = MembershipKind.FULL
+    ) -> list[api.Action]:
+        return self.handle(api.Membership(kind, endpoints))
 
     def advance_to(self, time: float) -> list[api.Action]:
-        """Let time pass, firing timers as they come due."""
-        seen: list[api.Action] = []
+        """Advance the clock to ``time``, firing timers as they come due; returns their actions."""
+        fired: list[api.Action] = []
         while self.timers and min(self.timers)[0] <= time:
             due, token = min(self.timers)
             self.timers.remove((due, token))
             self.now = max(self.now, due)
-            seen += self.handle(api.TimerFired(token))
+            fired += self.handle(api.TimerFired(token))
         self.now = max(self.now, time)
-        return seen
+        return fired
 
     def ask(self, name: str, cls: int = 0, tenant: int = 0, left: float | None = None) -> list[api.Action]:
-        span = self.node.settings.classes[cls].deadline_ms if left is None else left
-        return self.handle(api.Arrival(name, cls, tenant, self.now + span))
+        remaining_ms = self.node.settings.classes[cls].deadline_ms if left is None else left
+        return self.handle(api.Arrival(name, cls, tenant, self.now + remaining_ms))
 
     def end(self, name: str, status: Status, server: str, attempt: int = 0, **kw: object) -> list[api.Action]:
         closed = status == Status.OK
--- a/tests/settings_variants.py
+++ b/tests/settings_variants.py
@@ -1,4 +1,4 @@
-"""Settings of other customers, with which the decisions have to keep the rules as with the site's."""
+"""Settings that customers may choose; the decision module has to keep the rules with all of them."""
 
 from __future__ import annotations
 
@@ -29,13 +29,14 @@
 )
 
 
-def changed(**kw: object) -> Settings:
-    """The site's settings but for what each of its classes has else."""
+def with_classes(**kw: object) -> Settings:
+    """The site's settings with these fields changed in each request class."""
     return replace(SITE, classes=tuple(replace(c, **kw) for c in SITE.classes))  # type: ignore[arg-type]
 
 
-def times(factor: float, **kw: object) -> Settings:
-    shorter = tuple(
+def with_times(factor: float, **kw: object) -> Settings:
+    """The site's settings with all times of its classes multiplied by ``factor``."""
+    scaled = tuple(
         replace(
             c,
             target_latency_ms=c.target_latency_ms * factor,
@@ -44,24 +45,24 @@
         )
         for c in SITE.classes
     )
-    return replace(SITE, classes=shorter, **kw)  # type: ignore[arg-type]
+    return replace(SITE, classes=scaled, **kw)  # type: ignore[arg-type]
 
 
-ELSEWHERE = {
+SETTINGS_VARIANTS = {
     "as here": SITE,
-    "a quarter of the time": times(0.25),
-    "a fiftieth of the time": times(0.02),
-    "twenty times the time": times(20.0, max_retry_after_ms=500.0),
+    "a quarter of the time": with_times(0.25),
+    "a fiftieth of the time": with_times(0.02),
+    "twenty times the time": with_times(20.0, max_retry_after_ms=500.0),
     "one class": replace(SITE, classes=SITE.classes[:1]),
-    "unsafe": changed(effect=Effect.UNSAFE),
-    "keyed, by cell": changed(effect=Effect.KEYED, scope=DedupScope.CELL),
-    "keyed, nothing is remembered": changed(effect=Effect.KEYED, dedup_ms=0.0),
-    "keyed, 300 ms": changed(effect=Effect.KEYED, scope=DedupScope.ALL, dedup_ms=300.0),
-    "an aim of the deadline": changed(target_latency_ms=2000.0),
-    "an aim of nothing": changed(target_latency_ms=1.0),
+    "unsafe": with_classes(effect=Effect.UNSAFE),
+    "keyed, by cell": with_classes(effect=Effect.KEYED, scope=DedupScope.CELL),
+    "keyed, nothing is remembered": with_classes(effect=Effect.KEYED, dedup_ms=0.0),
+    "keyed, 300 ms": with_classes(effect=Effect.KEYED, scope=DedupScope.ALL, dedup_ms=300.0),
+    "an aim of the deadline": with_classes(target_latency_ms=2000.0),
+    "an aim of nothing": with_classes(target_latency_ms=1.0),
     "no tenants": replace(SITE, tenants=()),
     "quotas of nothing": replace(SITE, tenants=(api.Tenant(0.0),) * 2),
-    "no worth": changed(value=0.0, late_value=0.0),
+    "no worth": with_classes(value=0.0, late_value=0.0),
     "one attempt": replace(SITE, max_attempts=1),
     "no calling off, no probes, no advice": replace(
         SITE, may_cancel=False, may_probe=False, max_retry_after_ms=0.0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,56 +29,56 @@
 )
 from tests.helpers import SAFE, NodeHarness, sends
 
-D_REF = BASE_TARGET_DELAY + LATE_VALUE_TARGET_DELAY * 0.5
+TARGET_DELAY = BASE_TARGET_DELAY + LATE_VALUE_TARGET_DELAY * 0.5
 
 
 def test_no_refusal_below_target() -> None:
-    loop = Admission(4, 0.5)
+    admission = Admission(4, 0.5)
     for _ in range(5):
-        loop.revise(50.0, D_REF - 0.05, 10)
-    assert loop.admit_probability == 1.0 and not loop.refusing
+        admission.revise(50.0, TARGET_DELAY - 0.05, 10)
+    assert admission.admit_probability == 1.0 and not admission.refusing
 
 
 def test_first_overloaded_period_by_hand() -> None:
-    loop = Admission(2, 0.5)
+    admission = Admission(2, 0.5)
     # x = 0.35, d = 1.4: the model's utilisation is 1 - 0.35/1.4 = 0.75 at 20*2/10 = 4 a server and second,
     # so E[X] = 0.75/4 = 0.1875 s and Pa^m = (D - x) / (4 * 0.1875 * D); dPa = -0.8 * (1.4 - D) / 2.
-    loop.revise(20.0, 1.4, 10)
-    assert loop.service_demand_s == pytest.approx(0.1875)
-    model = (D_REF - INITIAL_SERVICE_TIME) / (4 * 0.1875 * D_REF)
-    correction = -INITIAL_THETA[0] * (1.4 - D_REF) / INITIAL_THETA[1]
-    assert loop.admit_probability == pytest.approx(model + correction)
-    assert loop.refusing and loop.correction == pytest.approx(correction)
+    admission.revise(20.0, 1.4, 10)
+    assert admission.service_demand_s == pytest.approx(0.1875)
+    model = (TARGET_DELAY - INITIAL_SERVICE_TIME) / (4 * 0.1875 * TARGET_DELAY)
+    correction = -INITIAL_THETA[0] * (1.4 - TARGET_DELAY) / INITIAL_THETA[1]
+    assert admission.admit_probability == pytest.approx(model + correction)
+    assert admission.refusing and admission.correction == pytest.approx(correction)
 
 
 def test_rls_step_by_hand() -> None:
-    loop = Admission(1, 0.5)
-    loop.error, loop.correction = 1.0, 0.0
+    admission = Admission(1, 0.5)
+    admission.error, admission.correction = 1.0, 0.0
     # phi = [1, 0], P = I: P11 becomes 1 - 1/2 = 0.5; the miss is 0.5 - 0.8, so theta1 moves by 0.5 * -0.3.
-    loop.learn(0.5)
-    assert loop.p11 == pytest.approx(0.5) and loop.p22 == pytest.approx(1.0)
-    assert loop.theta1 == pytest.approx(0.65) and loop.theta2 == pytest.approx(2.0)
+    admission.learn(0.5)
+    assert admission.p11 == pytest.approx(0.5) and admission.p22 == pytest.approx(1.0)
+    assert admission.theta1 == pytest.approx(0.65) and admission.theta2 == pytest.approx(2.0)
 
 
 def test_stays_on_until_full_admission_and_keeps_its_bounds() -> None:
-    loop = Admission(1, 0.5)
-    loop.revise(20.0, 50.0, 1)
-    assert loop.admit_probability == MIN_ADMIT_PROBABILITY  # never below, however bad
+    admission = Admission(1, 0.5)
+    admission.revise(20.0, 50.0, 1)
+    assert admission.admit_probability == MIN_ADMIT_PROBABILITY  # never below, however bad
     for _ in range(200):
-        loop.revise(20.0, 0.1, 1)
+        admission.revise(20.0, 0.1, 1)
         assert (
-            MIN_ADMIT_PROBABILITY <= loop.admit_probability <= 1.0
-            and loop.theta2 >= 0.5
-            and 0.0 < loop.p22 <= 10.0
+            MIN_ADMIT_PROBABILITY <= admission.admit_probability <= 1.0
+            and admission.theta2 >= 0.5
+            and 0.0 < admission.p22 <= 10.0
         )
-    assert loop.admit_probability == 1.0 and not loop.refusing
+    assert admission.admit_probability == 1.0 and not admission.refusing
 
 
 def test_no_arrivals_admit_all() -> None:
-    loop = Admission(1, 0.5)
-    loop.revise(20.0, 50.0, 1)
-    loop.revise(0.0, None, 1)
-    assert loop.admit_probability == 1.0 and not loop.refusing and loop.correction == 0.0
+    admission = Admission(1, 0.5)
+    admission.revise(20.0, 50.0, 1)
+    admission.revise(0.0, None, 1)
+    assert admission.admit_probability == 1.0 and not admission.refusing and admission.correction == 0.0
 
 
 def test_long_answers_from_servers_at_ease_refuse_nobody() -> None:
@@ -93,40 +93,42 @@
 
 def test_a_jam_is_not_cut_below_what_servers_get_through() -> None:
     # Half a farm lost: the delay still tells of those let in before, and admission fell to its floor.
-    loop = Admission(2, 0.3)
+    admission = Admission(2, 0.3)
     for _ in range(4):
-        loop.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.8)
-        assert loop.admit_probability >= MIN_SHARE_OF_THROUGHPUT * 0.8
-    loop.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.5)
-    assert MIN_ADMIT_PROBABILITY < loop.admit_probability < MIN_SHARE_OF_THROUGHPUT * 0.8
+        admission.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.8)
+        assert admission.admit_probability >= MIN_SHARE_OF_THROUGHPUT * 0.8
+    admission.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.5)
+    assert MIN_ADMIT_PROBABILITY < admission.admit_probability < MIN_SHARE_OF_THROUGHPUT * 0.8
 
 
 def test_work_is_reckoned_from_what_is_served_and_not_from_what_is_let_in() -> None:
-    loop = Admission(2, 0.5)
+    admission = Admission(2, 0.5)
     # As by hand above, 4 a server and second: what is let in, for a farm that fills serves less yet.
-    loop.revise(20.0, 1.4, 10, served_share=0.5)
-    assert loop.service_demand_s == pytest.approx(0.1875)
+    admission.revise(20.0, 1.4, 10, served_share=0.5)
+    assert admission.service_demand_s == pytest.approx(0.1875)
     # Then a half of them came through: 0.75 = 2 * E[X], taken over by half.
-    loop.revise(20.0, 1.4, 10, served_share=0.5)
-    assert loop.service_demand_s == pytest.approx(0.1875 + 0.5 * (0.375 - 0.1875))
+    admission.revise(20.0, 1.4, 10, served_share=0.5)
+    assert admission.service_demand_s == pytest.approx(0.1875 + 0.5 * (0.375 - 0.1875))
 
 
 def test_a_farm_at_ease_again_is_filled_step_by_step() -> None:
-    loop, steps = Admission(2, 0.3), list[float]()
-    loop.revise(300.0, 1.4, 4, utilization=0.9)
-    while loop.refusing:
-        before = loop.admit_probability
-        loop.revise(300.0, 0.4, 4, utilization=0.5, served_share=before)
-        steps.append(loop.admit_probability / before)
-    assert len(steps) > 1 and max(steps) <= MAX_RECOVERY_FACTOR + 1e-9 and loop.admit_probability == 1.0
+    admission, ratios = Admission(2, 0.3), list[float]()
+    admission.revise(300.0, 1.4, 4, utilization=0.9)
+    while admission.refusing:
+        before = admission.admit_probability
+        admission.revise(300.0, 0.4, 4, utilization=0.5, served_share=before)
+        ratios.append(admission.admit_probability / before)
+    assert (
+        len(ratios) > 1 and max(ratios) <= MAX_RECOVERY_FACTOR + 1e-9 and admission.admit_probability == 1.0
+    )
 
 
 def test_least_worth_goes_first_and_the_mean_is_kept() -> None:
     classes = tuple(RequestClass(300.0, 1000.0, w, 0.5, Effect.SAFE) for w in (10.0, 1.0))
-    order = SheddingOrder(Settings(classes=classes))
-    order.counts = [50.0, 0.0, 50.0, 0.0]
-    order.revise(0.7, 1.0, [LatencyStats(50.0, 10.0), LatencyStats(50.0, 10.0)])
-    assert order.admit_probability[0] == 1.0 and order.admit_probability[2] == pytest.approx(0.4)
+    shedding = SheddingOrder(Settings(classes=classes))
+    shedding.counts = [50.0, 0.0, 50.0, 0.0]
+    shedding.revise(0.7, 1.0, [LatencyStats(50.0, 10.0), LatencyStats(50.0, 10.0)])
+    assert shedding.admit_probability[0] == 1.0 and shedding.admit_probability[2] == pytest.approx(0.4)
 
 
 def test_a_flooding_tenant_is_cut_below_the_floor() -> None:
@@ -136,13 +138,13 @@
         tenants=(Tenant(10.0), Tenant(10.0)),
         over_quota_value=0.1,
     )
-    order, rng = SheddingOrder(settings), Random(3)
+    shedding, rng = SheddingOrder(settings), Random(3)
     for _ in range(3):
         for tenant, count in ((0, 8), (1, 200)):
             for i in range(count):
-                order.count_arrival(Arrival(str(i), 0, tenant, 1.0), rng)
-        order.revise(0.1, 1.0, [LatencyStats(50.0, 10.0)])
-    assert order.admit_probability[1] == 0.0 and order.admit_probability[0] > 0.3
+                shedding.count_arrival(Arrival(str(i), 0, tenant, 1.0), rng)
+        shedding.revise(0.1, 1.0, [LatencyStats(50.0, 10.0)])
+    assert shedding.admit_probability[1] == 0.0 and shedding.admit_probability[0] > 0.3
 
 
 def test_returned_retries_are_not_new_load(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_cold_server_load.py
+++ b/tests/test_cold_server_load.py
@@ -15,8 +15,8 @@
 from lupinlink.settings import read_settings
 from tests.helpers import SAFE, NodeHarness, sends
 
-CAPACITY, SPAN_MS = 25.0, 22000.0  # requests a second once warm; warm no later than this
-SITES = list(product((2, 3, 30, 200), (0.13, 0.3), ((3.0, 3000.0), (2.0, 2000.0), (3.0, 2000.0))))
+CAPACITY, WARMUP_MS = 25.0, 22000.0  # requests a second once warm; warm no later than this
+SETTINGS = list(product((2, 3, 30, 200), (0.13, 0.3), ((3.0, 3000.0), (2.0, 2000.0), (3.0, 2000.0))))
 
 
 def configured(peers: int, share: float, multiple: float, fall_ms: float) -> Settings:
@@ -25,7 +25,7 @@
         "Classes": [{"AimMs": 300.0, "HardLimitMs": 1000.0, "Effect": "pure"}],
         "PeersTotal": peers,
         "Limits": {"AttemptsCap": 5},
-        "Invariants": {"ColdShare": share, "ColdMs": SPAN_MS, "FallMultiple": multiple, "FallMs": fall_ms},
+        "Invariants": {"ColdShare": share, "ColdMs": WARMUP_MS, "FallMultiple": multiple, "FallMs": fall_ms},
     }
     return read_settings(raw)
 
@@ -34,15 +34,15 @@
     """One process's knowledge of the one cold server, and its own clock of periods."""
 
     def __init__(self, settings: Settings, rng: Random, load: float) -> None:
-        self.slow = SlowStart(settings)
-        self.slow.even_rate_per_ms = load * CAPACITY / settings.peers / 1000.0
+        self.slow_start = SlowStart(settings)
+        self.slow_start.even_rate_per_ms = load * CAPACITY / settings.peers / 1000.0
         self.server = Server(
             Endpoint("a", started_ms=1.0), 1.0, Group(1.0), tokens=rng.random(), tokens_at=1.0
         )
         self.turn = rng.uniform(0.0, 1000.0)  # to the end of its period
 
     def send(self, now: float) -> bool:
-        sent = self.slow.allows(self.server, now)
+        sent = self.slow_start.allows(self.server, now)
         self.server.tokens -= sent
         return sent
 
@@ -52,16 +52,16 @@
 
     def __init__(self, share: float, multiple: float, fall_ms: float) -> None:
         self.share, self.multiple, self.fall_ms = share, multiple, fall_ms
-        self.came, self.used, self.backlog = deque[float](), deque[float](maxlen=30), 0.0
+        self.arrivals, self.used, self.backlog = deque[float](), deque[float](maxlen=30), 0.0
         self.reports: list[tuple[float, int]] = []
-        self.worst = 0.0
+        self.worst_ratio = 0.0
 
     def capacity(self, now: float) -> float:
         """Requests a millisecond: no faster a ramp than the settings promise."""
-        return CAPACITY / 1000.0 * min(1.0, self.share + (1.0 - self.share) * now / SPAN_MS)
+        return CAPACITY / 1000.0 * min(1.0, self.share + (1.0 - self.share) * now / WARMUP_MS)
 
-    def meet(self, now: float, source: int) -> None:
-        self.came.append(now)
+    def receive(self, now: float, source: int) -> None:
+        self.arrivals.append(now)
         self.backlog += 1.0
         insort(self.reports, (now + 300.0 + self.backlog / self.capacity(now) / 2.0, source))
 
@@ -73,31 +73,31 @@
         while self.reports and self.reports[0][0] <= now:
             yield self.reports.pop(0)[1], sum(self.used) / len(self.used)
 
-    def weigh(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """What came over what it bears: at 1 it falls (N + 2 root N + 2)."""
-        while self.came and self.came[0] <= now - self.fall_ms:
-            self.came.popleft()
+        while self.arrivals and self.arrivals[0] <= now - self.fall_ms:
+            self.arrivals.popleft()
         n = self.multiple * self.capacity(now) * self.fall_ms
-        self.worst = max(self.worst, len(self.came) / (n + 2.0 * math.sqrt(n) + 2.0))
+        self.worst_ratio = max(self.worst_ratio, len(self.arrivals) / (n + 2.0 * math.sqrt(n) + 2.0))
 
 
-class Sum(unittest.TestCase):
+class FleetLoad(unittest.TestCase):
     def test_all_that_was_saved_up_may_be_spent_at_once(self) -> None:
         """None needs the cold server until the others are lost; from then on each sends what it may."""
-        for (peers, share, (multiple, fall_ms)), idle in product(SITES, (0, 2000, 6000)):
+        for (peers, share, (multiple, fall_ms)), idle in product(SETTINGS, (0, 2000, 6000)):
             settings, cold = configured(peers, share, multiple, fall_ms), ColdServer(share, multiple, fall_ms)
             rng = Random(peers)
             processes = [Process(settings, rng, load=0.8) for _ in range(peers)]
-            for now in range(1 + idle, int(SPAN_MS), 20):
+            for now in range(1 + idle, int(WARMUP_MS), 20):
                 for process in processes:
                     if process.send(float(now)):
-                        cold.came.append(float(now))
-                cold.weigh(float(now))
-            self.assertLess(cold.worst, 1.0, (peers, share, multiple, fall_ms, idle))
+                        cold.arrivals.append(float(now))
+                cold.check(float(now))
+            self.assertLess(cold.worst_ratio, 1.0, (peers, share, multiple, fall_ms, idle))
 
     def test_a_burst_meets_it_after_reports_at_ease(self) -> None:
         """Danger: at ease under little, each process alone took it for warm and gave it all it wanted."""
-        for peers, share, (multiple, fall_ms) in SITES:
+        for peers, share, (multiple, fall_ms) in SETTINGS:
             for before, after, at, times in ((0.5, 1.0, 6000, 100.0), (0.05, 1.2, 6000, 20.0)):
                 settings = configured(peers, share, multiple, fall_ms)
                 cold, rng = ColdServer(share, multiple, fall_ms), Random(peers)
@@ -108,26 +108,28 @@
                     )  # the others fail: it is wanted
                     even = load * CAPACITY / peers / 1000.0
                     for i, busy in cold.step(float(now), 20.0):
-                        processes[i].slow.report(processes[i].server, busy)
+                        processes[i].slow_start.report(processes[i].server, busy)
                     for i, process in enumerate(processes):
                         process.turn -= 20.0
                         if process.turn <= 0.0:
                             process.turn = 1000.0 * rng.uniform(0.75, 1.25)
-                            process.slow.even_rate_per_ms += 0.5 * (even - process.slow.even_rate_per_ms)
+                            process.slow_start.even_rate_per_ms += 0.5 * (
+                                even - process.slow_start.even_rate_per_ms
+                            )
                         if rng.random() < even * 20.0 * wanted and process.send(float(now)):
-                            cold.meet(float(now), i)
-                    cold.weigh(float(now))
-                self.assertLess(cold.worst, 1.0, (peers, share, multiple, fall_ms, before, after))
+                            cold.receive(float(now), i)
+                    cold.check(float(now))
+                self.assertLess(cold.worst_ratio, 1.0, (peers, share, multiple, fall_ms, before, after))
 
     def test_reports_at_ease_allow_no_process_more_than_twice_its_even_share(self) -> None:
         settings = configured(200, 0.13, 3.0, 3000.0)
         process = Process(settings, Random(1), load=0.8)
         for _ in range(100):
-            process.slow.report(process.server, 0.3)
+            process.slow_start.report(process.server, 0.3)
         sent = sum(process.send(float(now)) for now in range(1, 20000, 20))
-        self.assertLessEqual(sent, 1 + 2.0 * process.slow.even_rate_per_ms * 20000.0)
+        self.assertLessEqual(sent, 1 + 2.0 * process.slow_start.even_rate_per_ms * 20000.0)
         for _ in range(3):  # nor does it take as long to come down again
-            process.slow.report(process.server, 0.95)
+            process.slow_start.report(process.server, 0.95)
         self.assertEqual(process.server.warmup_boost, 1.0)
 
     def test_it_is_not_left_idle_for_it(self) -> None:
@@ -135,11 +137,11 @@
         for peers, share in product((2, 3, 30), (0.13, 0.3)):
             settings, rng = configured(peers, share, 3.0, 3000.0), Random(peers)
             processes, sent = [Process(settings, rng, 0.8) for _ in range(peers)], 0
-            for now in range(1, int(SPAN_MS), 20):
+            for now in range(1, int(WARMUP_MS), 20):
                 for process in processes:
-                    if rng.random() < process.slow.even_rate_per_ms * 20.0:
+                    if rng.random() < process.slow_start.even_rate_per_ms * 20.0:
                         sent += process.send(float(now))
-            even = 0.8 * CAPACITY * SPAN_MS / 1000.0 * (1.0 + share) / 2.0
+            even = 0.8 * CAPACITY * WARMUP_MS / 1000.0 * (1.0 + share) / 2.0
             self.assertGreater(sent, 0.6 * even, (peers, share))
 
     def test_light_traffic_is_served_where_all_servers_are_cold(self) -> None:
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -9,11 +9,11 @@
 from lupinlink.interface import Arrival, Endpoint, Group, Request, RequestClass, Send, Server, Settings
 from tests.helpers import NodeHarness
 
-AIM_MS, WORK_MS = 350.0, 97.0
-CLASS = RequestClass(AIM_MS, 880.0)
+TARGET_MS, SERVICE_MS = 350.0, 97.0
+CLASS = RequestClass(TARGET_MS, 880.0)
 
 
-def queueing(held: float, queued: float) -> dict[str, float]:
+def load_report(held: float, queued: float) -> dict[str, float]:
     return {"in_flight": held, "queued": queued}
 
 
@@ -25,20 +25,20 @@
     def learn(self, cores: float = 1.0) -> None:
         """What servers of that many cores tell, and answers that have waited for nobody."""
         for _ in range(4 * MIN_REPORTS):
-            self.limits.report(self.server, queueing(cores + 2.0, 2.0), 0.0)
+            self.limits.report(self.server, load_report(cores + 2.0, 2.0), 0.0)
         for _ in range(200):
-            self.limits.record_answer(queueing(0.0, 0.0), WORK_MS / AIM_MS)
+            self.limits.record_answer(load_report(0.0, 0.0), SERVICE_MS / TARGET_MS)
 
     def test_the_limit_follows_from_cores_aim_and_work(self) -> None:
         self.learn(cores=1.0)
-        self.assertAlmostEqual(self.limits.limit(self.server), 0.9 * AIM_MS / WORK_MS - 1.0, delta=0.1)
+        self.assertAlmostEqual(self.limits.limit(self.server), 0.9 * TARGET_MS / SERVICE_MS - 1.0, delta=0.1)
         self.server.group = Group(0.0)
         self.learn(cores=4.0)
-        self.assertAlmostEqual(self.limits.limit(self.server), 3.6 * AIM_MS / WORK_MS - 1.0, delta=0.3)
+        self.assertAlmostEqual(self.limits.limit(self.server), 3.6 * TARGET_MS / SERVICE_MS - 1.0, delta=0.3)
 
     def test_nothing_is_limited_by_few_reports_or_such_that_do_not_tell_both_figures(self) -> None:
         for _ in range(MIN_REPORTS - 1):
-            self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
+            self.limits.report(self.server, load_report(3.0, 2.0), 0.0)
         for report in ({"in_flight": 90.0}, {"utilization": 1.0}, {"queued": 9.0}, {}):
             self.limits.report(self.server, report, 0.0)
         self.assertEqual(self.limits.limit(self.server), math.inf)
@@ -49,9 +49,9 @@
         self.learn()
         before = (self.server.reported_requests, self.server.group.cores, self.limits.service_time)
         for held, queued in ((math.nan, 1.0), (2.0, 3.0), (-1.0, -2.0), (math.inf, 1.0), (3.0, math.nan)):
-            self.limits.report(self.server, queueing(held, queued), 1.0)
+            self.limits.report(self.server, load_report(held, queued), 1.0)
         for aims in (math.nan, math.inf, -1.0, 0.0):
-            self.limits.record_answer(queueing(0.0, 0.0), aims)
+            self.limits.record_answer(load_report(0.0, 0.0), aims)
         self.assertEqual(
             (self.server.reported_requests, self.server.group.cores, self.limits.service_time), before
         )
@@ -59,25 +59,25 @@
     def test_one_odd_report_or_answer_moves_the_limit_by_little(self) -> None:
         self.learn()
         before = self.limits.limit(self.server)
-        self.limits.report(self.server, queueing(9.0, 1.0), 1.0)
-        self.limits.record_answer(queueing(0.0, 0.0), 3.0)
+        self.limits.report(self.server, load_report(9.0, 1.0), 1.0)
+        self.limits.record_answer(load_report(0.0, 0.0), 3.0)
         self.assertLess(abs(self.limits.limit(self.server) / before - 1.0), 1.0)
         self.assertGreaterEqual(self.limits.limit(self.server), MIN_LIMIT)
 
     def test_what_it_holds_is_its_report_as_it_fades_and_the_sends_since(self) -> None:
-        self.limits.report(self.server, queueing(3.0, 2.0), 0.0)
+        self.limits.report(self.server, load_report(3.0, 2.0), 0.0)
         self.server.sent_since_report = 2
         self.assertAlmostEqual(self.limits.requests_held(self.server, 0.0), 5.0)
         self.assertAlmostEqual(self.limits.requests_held(self.server, REPORT_DECAY_MS), 2.0 + 3.0 / math.e)
-        self.limits.report(self.server, queueing(1.0, 0.0), 10.0)
+        self.limits.report(self.server, load_report(1.0, 0.0), 10.0)
         self.assertAlmostEqual(self.limits.requests_held(self.server, 10.0), 1.0)
 
     def test_who_could_only_be_late_waits_no_longer_unless_late_is_worth_something(self) -> None:
         self.learn()
-        soon = Request(Arrival("r", 0, 0, 880.0), CLASS, AIM_MS)
-        self.assertLess(self.limits.latest_useful_send(soon), AIM_MS - WORK_MS)
-        late = Request(Arrival("r", 0, 0, 880.0), RequestClass(AIM_MS, 880.0, late_value=0.2), AIM_MS)
-        self.assertEqual(self.limits.latest_useful_send(late), AIM_MS)
+        on_time = Request(Arrival("r", 0, 0, 880.0), CLASS, TARGET_MS)
+        self.assertLess(self.limits.latest_useful_send(on_time), TARGET_MS - SERVICE_MS)
+        late = Request(Arrival("r", 0, 0, 880.0), RequestClass(TARGET_MS, 880.0, late_value=0.2), TARGET_MS)
+        self.assertEqual(self.limits.latest_useful_send(late), TARGET_MS)
 
 
 class Full(unittest.TestCase):
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -1,4 +1,4 @@
-"""How many backends are asked for one piece of work: as many with thousands as with the usual number."""
+"""The cost of decisions, as reads of backend records, must not grow with the number of backends."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 from lupinlink.brain.server_selection import MAX_DRAWS
 from lupinlink.interface import DedupScope, DiscoveryWatchEnded, Endpoint, Settings, Status
 from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE
-from tests.counted_servers import CountedNodeHarness, reads_of
+from tests.counted_servers import CountedNodeHarness, count_reads
 from tests.helpers import KEYED, SAFE, NodeHarness, sends
 
 FEW, MANY = 400, 6400
-MOST_RATIO = 1.5  # of what is asked among many over what is asked among few
-WAITING = 40  # requests that wait side by side
+MAX_RATIO = 1.5  # of reads with many backends to reads with few
+WAITING = 40  # requests that wait at the same time
 
 Work = Callable[[CountedNodeHarness], None]
 
 
 def waiting(harness: CountedNodeHarness) -> None:
-    """Requests wait for a second."""
+    """Let requests wait for 0.9 s."""
     for i in range(WAITING):
         harness.ask(f"waits-{i}")
     harness.advance_to(harness.now + 900.0)
 
 
 def requests(harness: CountedNodeHarness) -> None:
-    """A second of requests that are served."""
+    """Serve a second's worth of requests."""
     for i in range(50):
-        harness.answer(f"served-{i}", harness.ask(f"served-{i}"))
+        harness.finish_all(f"served-{i}", harness.ask(f"served-{i}"))
 
 
-def news(harness: CountedNodeHarness) -> None:
-    """A second in which backends change one at a time."""
+def updates(harness: CountedNodeHarness) -> None:
+    """Update one backend after another for a second."""
     for i in range(10):
         harness.advance_to(harness.now + 100.0)
-        harness.one_changes(i)
+        harness.update_endpoint(i)
 
 
-class Asked(unittest.TestCase):
+class DecisionCost(unittest.TestCase):
     def compare(self, work: Work, prepare: Work = lambda harness: None, **more: float) -> None:
-        asked = []
+        reads = []
         for backends in (FEW, MANY):
             settings = Settings(
                 classes=(SAFE,), peers=6, subscribe=True, max_attempts=3, cold_share=0.1, cold_ms=60000.0
             )
             harness = CountedNodeHarness(settings, backends, **more)
             prepare(harness)
-            asked.append(reads_of(lambda harness=harness: work(harness)))  # type: ignore[misc]
-        few, many = asked
-        self.assertLessEqual(many, MOST_RATIO * few, f"{few} among {FEW}, {many} among {MANY}")
+            reads.append(count_reads(lambda harness=harness: work(harness)))  # type: ignore[misc]
+        few, many = reads
+        self.assertLessEqual(many, MAX_RATIO * few, f"{few} among {FEW}, {many} among {MANY}")
 
-    # Guards against held requests that each ask every backend at every look.
+    # Guards against held requests that each read every backend in every scan.
     def test_requests_that_wait_for_discovery(self) -> None:
         def hold(harness: CountedNodeHarness) -> None:
             harness.handle(DiscoveryWatchEnded(last_activity_at=harness.now, timed_out=False))
@@ -63,7 +63,7 @@
 
         self.compare(waiting, hold)
 
-    # Guards against the same where every backend is left out.
+    # The same while every backend is ejected.
     def test_requests_that_wait_for_a_backend_that_failed(self) -> None:
         def fail(harness: CountedNodeHarness) -> None:
             for server in list(harness.node.servers.values()):
@@ -71,7 +71,7 @@
 
         self.compare(waiting, fail)
 
-    # Guards against the same where every backend has just started and has no token.
+    # The same while every backend has just started and has no slow-start token.
     def test_requests_that_wait_for_a_cold_backend(self) -> None:
         def spend(harness: CountedNodeHarness) -> None:
             for server in harness.node.servers.values():
@@ -79,31 +79,31 @@
 
         self.compare(waiting, spend, started_ms=100.0)
 
-    # Guards against a draw among all backends, or weights drawn up for all at each turn.
+    # Guards against a draw that reads all backends, or weights of all that are recomputed at once.
     def test_requests_that_are_served(self) -> None:
         self.compare(requests)
 
-    # Guards against a pass over all backends for each arrival whose answer is an error.
+    # Guards against a pass over all backends for each failed request.
     def test_requests_that_fail(self) -> None:
         def failing(harness: CountedNodeHarness) -> None:
             for i in range(50):
-                harness.answer(f"failed-{i}", harness.ask(f"failed-{i}"), Status.RESET)
+                harness.finish_all(f"failed-{i}", harness.ask(f"failed-{i}"), Status.RESET)
 
         self.compare(failing)
 
-    # Guards against a pass over all backends for each object of discovery.
-    def test_news_of_one_backend(self) -> None:
-        self.compare(news)
+    # Guards against a pass over all backends for each update from discovery.
+    def test_updates_of_one_backend(self) -> None:
+        self.compare(updates)
 
-    # Guards against sums over all backends at each turn of the admission.
-    def test_a_quiet_time(self) -> None:
+    # Guards against sums over all backends at the end of each admission period.
+    def test_no_traffic(self) -> None:
         def pass_time(harness: CountedNodeHarness) -> None:
             harness.advance_to(harness.now + 5000.0)
 
         self.compare(pass_time)
 
-    # Guards against looking through all backends for each of many requests that none of them may have.
-    def test_requests_that_no_free_backend_may_have(self) -> None:
+    # Guards against scanning all backends for each of many requests that none of them may take.
+    def test_requests_that_no_free_backend_may_take(self) -> None:
         zone_wide = replace(
             KEYED, scope=DedupScope.ZONE, dedup_ms=5000.0, deadline_ms=3000.0, target_latency_ms=3000.0
         )
@@ -115,13 +115,13 @@
         harness.node.retry_tokens = 2.0 * WAITING
         for i, send in enumerate(sent):
             harness.end(str(i), Status.RESET, send.endpoint)
-        with patch.object(harness.node, "has_room", wraps=harness.node.has_room) as asked:
+        with patch.object(harness.node, "has_room", wraps=harness.node.has_room) as checked:
             harness.advance_to(harness.now + 1000.0)
-        looks = 1000.0 / SCAN_INTERVAL_MS
+        scans = 1000.0 / SCAN_INTERVAL_MS
         self.assertEqual(len(harness.node.waiting), WAITING)
         self.assertLess(
-            asked.call_count,
-            (looks + 1) * (MAX_SCANNED_PER_INTERVAL + 2 * MAX_MEAN_BUCKET_SIZE + WAITING * MAX_DRAWS),
+            checked.call_count,
+            (scans + 1) * (MAX_SCANNED_PER_INTERVAL + 2 * MAX_MEAN_BUCKET_SIZE + WAITING * MAX_DRAWS),
         )
 
 
