--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -29,10 +29,9 @@
         self.log += actions
         return actions
 
-    def discover(
-        self, endpoints: list[Endpoint], kind: MembershipKind = MembershipKind.FULL
-    ) -> list[api.Action]:
-        return self.handle(api.Membership(kind, endpoints))
+    def discover(self, rows: list[Endpoint], kind: MembershipKind = MembershipKind.FULL) -> list[api.Action]:
+        """Deliver a list of endpoints from discovery."""
+        return self.handle(api.Membership(kind, rows))
 
     def advance_to(self, time: float) -> list[api.Action]:
         """Advance the clock to ``time``, firing timers as they come due; returns their actions."""
@@ -46,10 +45,12 @@
         return fired
 
     def ask(self, name: str, cls: int = 0, tenant: int = 0, left: float | None = None) -> list[api.Action]:
+        """A client's request arrives, with ``left`` ms to its deadline."""
         remaining_ms = self.node.settings.classes[cls].deadline_ms if left is None else left
         return self.handle(api.Arrival(name, cls, tenant, self.now + remaining_ms))
 
     def end(self, name: str, status: Status, server: str, attempt: int = 0, **kw: object) -> list[api.Action]:
+        """An attempt ends at ``server``; a successful one answers the request."""
         closed = status == Status.OK
         report = kw.get("report")
         assert report is None or isinstance(report, dict)
@@ -57,8 +58,10 @@
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
+    """The attempts started among these actions."""
     return [a for a in actions if isinstance(a, api.Send)]
 
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
+    """The final answers among these actions."""
     return [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
--- a/tests/settings_variants.py
+++ b/tests/settings_variants.py
@@ -49,30 +49,30 @@
 
 
 SETTINGS_VARIANTS = {
-    "as here": SITE,
-    "a quarter of the time": with_times(0.25),
-    "a fiftieth of the time": with_times(0.02),
-    "twenty times the time": with_times(20.0, max_retry_after_ms=500.0),
+    "the site's": SITE,
+    "a quarter of all times": with_times(0.25),
+    "a fiftieth of all times": with_times(0.02),
+    "twenty times all times": with_times(20.0, max_retry_after_ms=500.0),
     "one class": replace(SITE, classes=SITE.classes[:1]),
     "unsafe": with_classes(effect=Effect.UNSAFE),
     "keyed, by cell": with_classes(effect=Effect.KEYED, scope=DedupScope.CELL),
-    "keyed, nothing is remembered": with_classes(effect=Effect.KEYED, dedup_ms=0.0),
+    "keyed, without deduplication": with_classes(effect=Effect.KEYED, dedup_ms=0.0),
     "keyed, 300 ms": with_classes(effect=Effect.KEYED, scope=DedupScope.ALL, dedup_ms=300.0),
-    "an aim of the deadline": with_classes(target_latency_ms=2000.0),
-    "an aim of nothing": with_classes(target_latency_ms=1.0),
+    "a target latency equal to the deadline": with_classes(target_latency_ms=2000.0),
+    "a target latency of 1 ms": with_classes(target_latency_ms=1.0),
     "no tenants": replace(SITE, tenants=()),
-    "quotas of nothing": replace(SITE, tenants=(api.Tenant(0.0),) * 2),
-    "no worth": with_classes(value=0.0, late_value=0.0),
+    "quotas of zero": replace(SITE, tenants=(api.Tenant(0.0),) * 2),
+    "no value": with_classes(value=0.0, late_value=0.0),
     "one attempt": replace(SITE, max_attempts=1),
-    "no calling off, no probes, no advice": replace(
+    "no cancelling, no probes, no retry advice": replace(
         SITE, may_cancel=False, may_probe=False, max_retry_after_ms=0.0
     ),
     "reports by probe only": replace(SITE, reports_in_answers=False),
     "no reports, no keys": replace(SITE, reports_in_answers=False, reports_in_probes=False, warm_keys=False),
-    "dials of a second": replace(SITE, dial_timeout_ms=1000.0),
-    "asked for, 200 processes": replace(SITE, subscribe=True, must_ask_ms=4000.0, peers=200, rank=77),
+    "dial time-out of a second": replace(SITE, dial_timeout_ms=1000.0),
+    "subscribed, 200 processes": replace(SITE, subscribe=True, must_ask_ms=4000.0, peers=200, rank=77),
     "never cold": replace(SITE, cold_share=0.0, cold_ms=0.0, cold_overload_ms=1.0, cold_overload_ratio=1.0),
-    "cold for ever": replace(
+    "always cold": replace(
         SITE, cold_share=0.01, cold_ms=1e7, cold_overload_ms=500.0, cold_overload_ratio=1.0
     ),
 }
--- a/tests/test_action_digest.py
+++ b/tests/test_action_digest.py
@@ -1,4 +1,4 @@
-"""The module's actions for seeded streams of events: a change of form must not change them."""
+"""The decision module's actions for seeded streams of events: a refactoring must not change them."""
 
 import hashlib
 from heapq import heappop, heappush
@@ -9,17 +9,17 @@
 from lupinlink.interface import Endpoint, EndpointState, MembershipKind, Settings, Status, Tenant
 from tests.helpers import KEYED, SAFE, UNSAFE, NodeHarness
 
-# Who means to change actions puts the new one here and says so in the commit.
+# An intended change of actions updates it and says so in the commit.
 DIGEST = "0a6620403195f5ea40284efb7136d26d34e29cecd1d0ac83c81e16c1f03053bb"
 
 
 def decided(actions: list[api.Action]) -> list[api.Action]:
-    """Without the notes for the log."""
+    """The actions without those that are only logged."""
     return [action for action in actions if not isinstance(action, api.ListTrustChanged)]
 
 
 def played(seed: int, requests: int) -> list[str]:
-    """The actions for requests at a farm of twenty that fails in all ways, on the simulator's wire."""
+    """The actions, as sent to the simulator, for requests to twenty servers that fail in every way."""
     rng, odd, asked, due = Random(seed), seed % 2 == 1, 0.0, list[tuple[float, float, api.Event]]()
     told = Settings(
         (SAFE, UNSAFE, KEYED), (Tenant(5.0), Tenant(60.0)), peers=4, rank=seed % 4, max_attempts=3,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission against numbers worked by hand, and the shedding order."""
+"""Admission control against values computed by hand, and the shedding order."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 def test_first_overloaded_period_by_hand() -> None:
     admission = Admission(2, 0.5)
-    # x = 0.35, d = 1.4: the model's utilisation is 1 - 0.35/1.4 = 0.75 at 20*2/10 = 4 a server and second,
+    # x = 0.35, d = 1.4: the model's utilization is 1 - 0.35/1.4 = 0.75 at 20*2/10 = 4 per server and second,
     # so E[X] = 0.75/4 = 0.1875 s and Pa^m = (D - x) / (4 * 0.1875 * D); dPa = -0.8 * (1.4 - D) / 2.
     admission.revise(20.0, 1.4, 10)
     assert admission.service_demand_s == pytest.approx(0.1875)
@@ -54,16 +54,17 @@
 def test_rls_step_by_hand() -> None:
     admission = Admission(1, 0.5)
     admission.error, admission.correction = 1.0, 0.0
-    # phi = [1, 0], P = I: P11 becomes 1 - 1/2 = 0.5; the miss is 0.5 - 0.8, so theta1 moves by 0.5 * -0.3.
+    # phi = [1, 0], P = I: P11 becomes 1 - 1/2 = 0.5; the prediction error is 0.5 - 0.8, and theta1 changes by
+    # 0.5 * -0.3.
     admission.learn(0.5)
     assert admission.p11 == pytest.approx(0.5) and admission.p22 == pytest.approx(1.0)
     assert admission.theta1 == pytest.approx(0.65) and admission.theta2 == pytest.approx(2.0)
 
 
-def test_stays_on_until_full_admission_and_keeps_its_bounds() -> None:
+def test_refusing_lasts_until_full_admission_within_the_bounds() -> None:
     admission = Admission(1, 0.5)
     admission.revise(20.0, 50.0, 1)
-    assert admission.admit_probability == MIN_ADMIT_PROBABILITY  # never below, however bad
+    assert admission.admit_probability == MIN_ADMIT_PROBABILITY  # the floor, however high the delay
     for _ in range(200):
         admission.revise(20.0, 0.1, 1)
         assert (
@@ -81,8 +82,9 @@
     assert admission.admit_probability == 1.0 and not admission.refusing and admission.correction == 0.0
 
 
-def test_long_answers_from_servers_at_ease_refuse_nobody() -> None:
-    # Where the bare answer takes more than half the aim, E[X] was never learnt and refusing never ended.
+def test_long_answers_with_low_utilization_refuse_nobody() -> None:
+    # Judged by delay alone, a period counts as loaded if the service time is over half the target latency: then
+    # E[X] would never be learnt and refusing never end.
     admission = Admission(2, 0.3)
     for _ in range(20):
         admission.revise(100.0, 0.7, 8, utilization=0.4)
@@ -91,8 +93,9 @@
     assert admission.refusing
 
 
-def test_a_jam_is_not_cut_below_what_servers_get_through() -> None:
-    # Half a farm lost: the delay still tells of those let in before, and admission fell to its floor.
+def test_overload_is_not_cut_below_what_servers_complete() -> None:
+    # After the loss of half the servers the delay still includes requests admitted before, and would bring
+    # admission to its floor.
     admission = Admission(2, 0.3)
     for _ in range(4):
         admission.revise(300.0, 1.4, 4, utilization=0.9, served_share=0.8)
@@ -101,17 +104,17 @@
     assert MIN_ADMIT_PROBABILITY < admission.admit_probability < MIN_SHARE_OF_THROUGHPUT * 0.8
 
 
-def test_work_is_reckoned_from_what_is_served_and_not_from_what_is_let_in() -> None:
+def test_service_demand_follows_from_served_and_not_from_admitted_requests() -> None:
     admission = Admission(2, 0.5)
-    # As by hand above, 4 a server and second: what is let in, for a farm that fills serves less yet.
+    # As by hand above, 4 admitted per server and second: servers whose queues fill complete less.
     admission.revise(20.0, 1.4, 10, served_share=0.5)
     assert admission.service_demand_s == pytest.approx(0.1875)
-    # Then a half of them came through: 0.75 = 2 * E[X], taken over by half.
+    # Then half of them were served: 0.75 = 2 * E[X], smoothed with a gain of one half.
     admission.revise(20.0, 1.4, 10, served_share=0.5)
     assert admission.service_demand_s == pytest.approx(0.1875 + 0.5 * (0.375 - 0.1875))
 
 
-def test_a_farm_at_ease_again_is_filled_step_by_step() -> None:
+def test_admission_recovers_step_by_step_when_utilization_is_low() -> None:
     admission, ratios = Admission(2, 0.3), list[float]()
     admission.revise(300.0, 1.4, 4, utilization=0.9)
     while admission.refusing:
@@ -123,7 +126,7 @@
     )
 
 
-def test_least_worth_goes_first_and_the_mean_is_kept() -> None:
+def test_least_value_is_shed_first_and_the_mean_is_kept() -> None:
     classes = tuple(RequestClass(300.0, 1000.0, w, 0.5, Effect.SAFE) for w in (10.0, 1.0))
     shedding = SheddingOrder(Settings(classes=classes))
     shedding.counts = [50.0, 0.0, 50.0, 0.0]
@@ -132,7 +135,7 @@
 
 
 def test_a_flooding_tenant_is_cut_below_the_floor() -> None:
-    # i476414: a tenant at many times its quota, admitted at the floor of 0.1, crowded out all others.
+    # A tenant at many times its quota, admitted at the floor of 0.1, would crowd out all others (i476414).
     settings = Settings(
         classes=(RequestClass(300.0, 1000.0, 5.0, 0.5, Effect.SAFE),),
         tenants=(Tenant(10.0), Tenant(10.0)),
@@ -147,8 +150,8 @@
     assert shedding.admit_probability[1] == 0.0 and shedding.admit_probability[0] > 0.3
 
 
-def test_returned_retries_are_not_new_load(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Refused clients who return would otherwise swell the rate and drive Pa^m to its floor.
+def test_retries_of_refused_clients_are_not_new_load(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Retries of refused clients, counted as arrivals, would drive Pa^m to its floor.
     harness = NodeHarness(Settings(classes=(SAFE,), max_attempts=3, clients_mark_retries=True))
     rates: list[float] = []
     monkeypatch.setattr(harness.node.admission, "revise", lambda rate, *rest: rates.append(rate))
@@ -160,9 +163,9 @@
     assert rates and 10.0 <= rates[0] <= 10.0 / 0.2
 
 
-def test_what_full_servers_turn_away_does_not_make_a_jam_look_quick() -> None:
-    # Nothing comes back but refusals at once; counted as passing through, 200 a second beside the 20 that
-    # were served would give by Little's law a tenth of the delay that the 25 which are out stand for.
+def test_refusals_of_full_servers_do_not_hide_an_overload() -> None:
+    # Full servers refuse at once. In the throughput, 200 refusals beside 20 served requests would give by
+    # Little's law a tenth of the delay that the 25 open attempts show.
     harness = NodeHarness(Settings(classes=(SAFE,), max_attempts=1))
     for i in range(25):
         assert sends(harness.ask(f"r{i}"))
@@ -175,5 +178,7 @@
             period.add(1.5, SAFE.target_latency_ms * 1.5, processed=False)
         delays.append(harness.node.delay(period, 1.0, 900.0))
     assert delays[0] is not None and delays[1] is not None
-    assert delays[0] == pytest.approx(25 / 300.0 * 1000.0 / 20)  # out over passing through, in aims
+    assert delays[0] == pytest.approx(
+        25 / 300.0 * 1000.0 / 20
+    )  # open attempts over throughput, in target latencies
     assert delays[1] == pytest.approx(delays[0])
--- a/tests/test_cold_server_load.py
+++ b/tests/test_cold_server_load.py
@@ -1,4 +1,4 @@
-"""Cold servers under the sum of all processes: what is saved up, reports at ease, a burst, servers lost."""
+"""Cold servers under all proxies together: saved tokens, reports of low utilization, bursts, lost servers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from lupinlink.settings import read_settings
 from tests.helpers import SAFE, NodeHarness, sends
 
-CAPACITY, WARMUP_MS = 25.0, 22000.0  # requests a second once warm; warm no later than this
+CAPACITY, WARMUP_MS = 25.0, 22000.0  # requests per second once warm; time to become warm
 SETTINGS = list(product((2, 3, 30, 200), (0.13, 0.3), ((3.0, 3000.0), (2.0, 2000.0), (3.0, 2000.0))))
 
 
 def configured(peers: int, share: float, multiple: float, fall_ms: float) -> Settings:
-    """By the wire's names: a figure that is not read would be taken for the default."""
+    """Settings read by their outer names: one that is not read would keep its default unnoticed."""
     raw = {
         "Classes": [{"AimMs": 300.0, "HardLimitMs": 1000.0, "Effect": "pure"}],
         "PeersTotal": peers,
@@ -31,7 +31,7 @@
 
 
 class Process:
-    """One process's knowledge of the one cold server, and its own clock of periods."""
+    """One proxy process's view of the one cold server, and its own admission periods."""
 
     def __init__(self, settings: Settings, rng: Random, load: float) -> None:
         self.slow_start = SlowStart(settings)
@@ -39,7 +39,7 @@
         self.server = Server(
             Endpoint("a", started_ms=1.0), 1.0, Group(1.0), tokens=rng.random(), tokens_at=1.0
         )
-        self.turn = rng.uniform(0.0, 1000.0)  # to the end of its period
+        self.turn = rng.uniform(0.0, 1000.0)  # ms to the end of its period
 
     def send(self, now: float) -> bool:
         sent = self.slow_start.allows(self.server, now)
@@ -48,7 +48,7 @@
 
 
 class ColdServer:
-    """Counts what comes within the span of a fall, works it off and reports its use, late."""
+    """Counts arrivals within ``fall_ms``, serves them and reports its utilization, late."""
 
     def __init__(self, share: float, multiple: float, fall_ms: float) -> None:
         self.share, self.multiple, self.fall_ms = share, multiple, fall_ms
@@ -57,7 +57,7 @@
         self.worst_ratio = 0.0
 
     def capacity(self, now: float) -> float:
-        """Requests a millisecond: no faster a ramp than the settings promise."""
+        """Requests per ms, at the ramp that the settings promise."""
         return CAPACITY / 1000.0 * min(1.0, self.share + (1.0 - self.share) * now / WARMUP_MS)
 
     def receive(self, now: float, source: int) -> None:
@@ -66,7 +66,7 @@
         insort(self.reports, (now + 300.0 + self.backlog / self.capacity(now) / 2.0, source))
 
     def step(self, now: float, span: float) -> Iterator[tuple[int, float]]:
-        """Whose answers come now, and the use that they report."""
+        """Yield the processes whose answers come now, with the utilization that they report."""
         done = min(self.backlog, self.capacity(now) * span)
         self.backlog -= done
         self.used.append(done / (self.capacity(now) * span))
@@ -74,7 +74,7 @@
             yield self.reports.pop(0)[1], sum(self.used) / len(self.used)
 
     def check(self, now: float) -> None:
-        """What came over what it bears: at 1 it falls (N + 2 root N + 2)."""
+        """Arrivals over those it can bear: at 1 it fails (N + 2 sqrt(N) + 2)."""
         while self.arrivals and self.arrivals[0] <= now - self.fall_ms:
             self.arrivals.popleft()
         n = self.multiple * self.capacity(now) * self.fall_ms
@@ -82,8 +82,8 @@
 
 
 class FleetLoad(unittest.TestCase):
-    def test_all_that_was_saved_up_may_be_spent_at_once(self) -> None:
-        """None needs the cold server until the others are lost; from then on each sends what it may."""
+    def test_all_saved_tokens_may_be_spent_at_once(self) -> None:
+        """No process uses the cold server until the others are lost; then each sends all it may."""
         for (peers, share, (multiple, fall_ms)), idle in product(SETTINGS, (0, 2000, 6000)):
             settings, cold = configured(peers, share, multiple, fall_ms), ColdServer(share, multiple, fall_ms)
             rng = Random(peers)
@@ -95,8 +95,8 @@
                 cold.check(float(now))
             self.assertLess(cold.worst_ratio, 1.0, (peers, share, multiple, fall_ms, idle))
 
-    def test_a_burst_meets_it_after_reports_at_ease(self) -> None:
-        """Danger: at ease under little, each process alone took it for warm and gave it all it wanted."""
+    def test_a_burst_after_reports_of_low_utilization(self) -> None:
+        """Under light load the reports are low, and each process alone would take it for warm in a burst."""
         for peers, share, (multiple, fall_ms) in SETTINGS:
             for before, after, at, times in ((0.5, 1.0, 6000, 100.0), (0.05, 1.2, 6000, 20.0)):
                 settings = configured(peers, share, multiple, fall_ms)
@@ -105,7 +105,7 @@
                 for now in range(1, 14000, 20):
                     load, wanted = (
                         (before, 1.0) if now < at else (after, times)
-                    )  # the others fail: it is wanted
+                    )  # the other servers fail, and it gets their load
                     even = load * CAPACITY / peers / 1000.0
                     for i, busy in cold.step(float(now), 20.0):
                         processes[i].slow_start.report(processes[i].server, busy)
@@ -121,19 +121,19 @@
                     cold.check(float(now))
                 self.assertLess(cold.worst_ratio, 1.0, (peers, share, multiple, fall_ms, before, after))
 
-    def test_reports_at_ease_allow_no_process_more_than_twice_its_even_share(self) -> None:
+    def test_reports_of_low_utilization_allow_no_process_more_than_twice_its_even_share(self) -> None:
         settings = configured(200, 0.13, 3.0, 3000.0)
         process = Process(settings, Random(1), load=0.8)
         for _ in range(100):
             process.slow_start.report(process.server, 0.3)
         sent = sum(process.send(float(now)) for now in range(1, 20000, 20))
         self.assertLessEqual(sent, 1 + 2.0 * process.slow_start.even_rate_per_ms * 20000.0)
-        for _ in range(3):  # nor does it take as long to come down again
+        for _ in range(3):  # the way down is quicker
             process.slow_start.report(process.server, 0.95)
         self.assertEqual(process.server.warmup_boost, 1.0)
 
-    def test_it_is_not_left_idle_for_it(self) -> None:
-        """Few processes, steadily wanted: most of its even share by the least promised comes."""
+    def test_a_cold_server_is_not_left_idle(self) -> None:
+        """With few processes and steady load it gets most of its even share by the promised capacity."""
         for peers, share in product((2, 3, 30), (0.13, 0.3)):
             settings, rng = configured(peers, share, 3.0, 3000.0), Random(peers)
             processes, sent = [Process(settings, rng, 0.8) for _ in range(peers)], 0
@@ -145,7 +145,7 @@
             self.assertGreater(sent, 0.6 * even, (peers, share))
 
     def test_light_traffic_is_served_where_all_servers_are_cold(self) -> None:
-        """Danger: an even share of next to nothing earns next to nothing: all was refused for ten seconds."""
+        """An even share of light traffic earns few tokens: all requests would be refused for ten seconds."""
         harness = NodeHarness(configured(1, 0.13, 3.0, 3000.0), names="")
         harness.discover([Endpoint(name, started_ms=1.0) for name in "abcd"])
         served = 0
@@ -156,7 +156,7 @@
                 served += 1
         self.assertGreaterEqual(served, 9)
 
-    def test_repeats_need_tokens_as_well(self) -> None:
+    def test_retries_need_tokens_as_well(self) -> None:
         harness = NodeHarness(configured(200, 0.13, 3.0, 3000.0), names="a")
         harness.discover([Endpoint("a"), Endpoint("b", started_ms=1.0)])
         for i in range(30):
@@ -164,7 +164,7 @@
                 self.assertEqual(send.endpoint, "a")
                 self.assertEqual(sends(harness.end(f"r{i}", Status.ERROR, "a")), [])
 
-    def test_the_one_who_is_not_told_a_figure_takes_the_usual(self) -> None:
+    def test_settings_that_are_not_given_have_defaults(self) -> None:
         self.assertEqual(
             (Settings((SAFE,)).cold_overload_ratio, Settings((SAFE,)).cold_overload_ms), (3.0, 3000.0)
         )
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""A server is sent no more than it can answer in time, where its reports tell what it holds."""
+"""Concurrency limits: a server gets no more than it can answer in time, if it reports its requests."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
         self.server = Server(Endpoint("a"), 0.0, Group(0.0))
 
     def learn(self, cores: float = 1.0) -> None:
-        """What servers of that many cores tell, and answers that have waited for nobody."""
+        """Take reports of servers with ``cores`` cores, and answers that did not queue."""
         for _ in range(4 * MIN_REPORTS):
             self.limits.report(self.server, load_report(cores + 2.0, 2.0), 0.0)
         for _ in range(200):
             self.limits.record_answer(load_report(0.0, 0.0), SERVICE_MS / TARGET_MS)
 
-    def test_the_limit_follows_from_cores_aim_and_work(self) -> None:
+    def test_the_limit_follows_from_cores_target_latency_and_service_time(self) -> None:
         self.learn(cores=1.0)
         self.assertAlmostEqual(self.limits.limit(self.server), 0.9 * TARGET_MS / SERVICE_MS - 1.0, delta=0.1)
         self.server.group = Group(0.0)
         self.learn(cores=4.0)
         self.assertAlmostEqual(self.limits.limit(self.server), 3.6 * TARGET_MS / SERVICE_MS - 1.0, delta=0.3)
 
-    def test_nothing_is_limited_by_few_reports_or_such_that_do_not_tell_both_figures(self) -> None:
+    def test_few_or_incomplete_reports_limit_nothing(self) -> None:
         for _ in range(MIN_REPORTS - 1):
             self.limits.report(self.server, load_report(3.0, 2.0), 0.0)
         for report in ({"in_flight": 90.0}, {"utilization": 1.0}, {"queued": 9.0}, {}):
@@ -45,7 +45,7 @@
         self.assertTrue(self.limits.has_room(self.server, 0.0))
         self.assertFalse(self.limits.known)
 
-    def test_reports_that_make_no_sense_leave_no_mark(self) -> None:
+    def test_impossible_reports_and_delays_are_ignored(self) -> None:
         self.learn()
         before = (self.server.reported_requests, self.server.group.cores, self.limits.service_time)
         for held, queued in ((math.nan, 1.0), (2.0, 3.0), (-1.0, -2.0), (math.inf, 1.0), (3.0, math.nan)):
@@ -56,7 +56,7 @@
             (self.server.reported_requests, self.server.group.cores, self.limits.service_time), before
         )
 
-    def test_one_odd_report_or_answer_moves_the_limit_by_little(self) -> None:
+    def test_a_single_outlier_moves_the_limit_by_little(self) -> None:
         self.learn()
         before = self.limits.limit(self.server)
         self.limits.report(self.server, load_report(9.0, 1.0), 1.0)
@@ -64,7 +64,7 @@
         self.assertLess(abs(self.limits.limit(self.server) / before - 1.0), 1.0)
         self.assertGreaterEqual(self.limits.limit(self.server), MIN_LIMIT)
 
-    def test_what_it_holds_is_its_report_as_it_fades_and_the_sends_since(self) -> None:
+    def test_requests_held_are_the_decayed_report_and_the_sends_since(self) -> None:
         self.limits.report(self.server, load_report(3.0, 2.0), 0.0)
         self.server.sent_since_report = 2
         self.assertAlmostEqual(self.limits.requests_held(self.server, 0.0), 5.0)
@@ -72,7 +72,7 @@
         self.limits.report(self.server, load_report(1.0, 0.0), 10.0)
         self.assertAlmostEqual(self.limits.requests_held(self.server, 10.0), 1.0)
 
-    def test_who_could_only_be_late_waits_no_longer_unless_late_is_worth_something(self) -> None:
+    def test_a_request_that_can_only_be_late_stops_waiting_unless_late_answers_have_value(self) -> None:
         self.learn()
         on_time = Request(Arrival("r", 0, 0, 880.0), CLASS, TARGET_MS)
         self.assertLess(self.limits.latest_useful_send(on_time), TARGET_MS - SERVICE_MS)
@@ -81,7 +81,7 @@
 
 
 class Full(unittest.TestCase):
-    def test_a_full_server_is_passed_over_and_asked_again_once_it_has_room(self) -> None:
+    def test_a_full_server_is_skipped_until_it_has_room(self) -> None:
         harness = NodeHarness(Settings((CLASS,), reports_in_answers=True), "ab")
         for server in harness.node.servers.values():
             server.group.queueing_reports, server.group.cores = MIN_REPORTS, 1.0
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -1,4 +1,4 @@
-"""Where discovery is down the known list serves on, however its failing calls look."""
+"""During an outage of discovery the known list is used, however its calls fail."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.helpers import SAFE
 from tests.test_drain_faults import SEEDS, Forced
 
-LATE_FAILURE_MS = 2000.0  # a call that discovery cannot serve fails after this
+LATE_FAILURE_MS = 2000.0  # a call fails this late
 OUTAGE = OutageOf(9000.0, 40000.0, Away.ERROR, LATE_FAILURE_MS)
 RESET_OUTAGE = OutageOf(9000.0, 40000.0, Away.RESET, LATE_FAILURE_MS)
-FAILED_CALL_MS = 2500.0  # a call that fails late, and the wait before it
-DETECTION_MS = 8400.0  # five calls that fail late, up to three at a time, the waits between, a request's time
+FAILED_CALL_MS = 2500.0  # a call that fails late, and the backoff before it
+DETECTION_MS = 8400.0  # five calls that fail late, up to three at a time, the backoffs, a request's time
 ENDED_LATE = DiscoveryCallFailed(connected=True, answered=False, took_ms=LATE_FAILURE_MS, refused=True)
 UNANSWERED = replace(ENDED_LATE, timed_out=True, refused=False)
 HEAD_ONLY = DiscoveryCallFailed(connected=True, answered=True, took_ms=LATE_FAILURE_MS)
@@ -28,20 +28,20 @@
 
 
 class LateFailures(Forced):
-    """Discovery is down, and each call fails only after 2 s, as those of a crowded one do."""
+    """Discovery is down, and each call fails only after 2 s, as it does at an overloaded one."""
 
     def keeps_serving(self, script: Script, most_ms: float) -> None:
-        """What the outage has hidden is kept, and requests are not held for long."""
+        """Changes hidden by the outage are respected, and requests are not held longer than ``most_ms``."""
         self.in_time(script)
         longest = max(drive(replace(script, seed=seed)).longest_hold_ms for seed in SEEDS)
         self.assertLessEqual(longest, most_ms)
 
-    def test_a_small_fleet_serves_on(self) -> None:
-        # While a call is out it may have been answered; and small fleets call until an outage is shown.
+    def test_a_small_fleet_keeps_serving(self) -> None:
+        # An open call may have been answered, and small fleets make calls until an outage is shown.
         for outage, most_ms in ((OUTAGE, DETECTION_MS), (RESET_OUTAGE, FAILED_CALL_MS)):
             self.keeps_serving(Script((Change(12000.0),), (outage,)), most_ms)
 
-    def test_an_outage_of_slow_failures_costs_half_of_it_once_shown(self) -> None:
+    def test_late_failures_hold_requests_for_at_most_half_of_an_outage_once_shown(self) -> None:
         for peers in (5, 12, 40, 200):
             script = Script((Change(12000.0),), (OUTAGE,), peers=peers)
             held_ms = max(drive(replace(script, seed=seed)).held_ms for seed in SEEDS)
@@ -49,19 +49,19 @@
                 held_ms, DETECTION_MS + 0.5 * (OUTAGE.end - OUTAGE.begin - DETECTION_MS), peers
             )
 
-    def test_a_large_fleet_serves_on(self) -> None:
+    def test_a_large_fleet_keeps_serving(self) -> None:
         for peers in (40, 200):
             self.keeps_serving(Script((Change(12000.0),), (OUTAGE,), peers=peers), FAILED_CALL_MS)
 
-    def test_a_process_of_a_large_fleet_that_starts_meanwhile_serves_on(self) -> None:
-        # It has seen no watch end, so two late failures may be those of a crowded discovery.
+    def test_a_process_of_a_large_fleet_that_starts_meanwhile_keeps_serving(self) -> None:
+        # It has seen no watch end, so two late failures may come from an overloaded discovery.
         for peers in (40, 200):
             script = Script((Change(12000.0),), (OUTAGE,), restarts=(Restart(13000.0),), peers=peers)
             self.keeps_serving(script, MAX_HOLD_MS + ROUNDING_MS)
 
 
 class ScheduleHarness:
-    """A schedule whose calls fail after 2 s, each."""
+    """A schedule whose calls each fail after 2 s."""
 
     def __init__(self, peers: int) -> None:
         settings = Settings(classes=(SAFE,), subscribe=True, must_ask_ms=10000.0, peers=peers)
@@ -71,7 +71,7 @@
         self.now = 0.0
 
     def fail_until(self, end: float) -> None:
-        """Every call that is out fails late."""
+        """Let every call fail late until ``end``."""
         while (at := min([self.schedule.call_at, *self._failing])) < end:
             self.now = max(self.now, at)
             if self._failing and self._failing[0] <= self.now:
@@ -82,7 +82,7 @@
                 self._failing.append(self.now + LATE_FAILURE_MS)
 
 
-def test_a_small_fleet_looks_again_before_its_list_counts_as_old() -> None:
+def test_a_small_fleet_calls_again_before_its_list_is_not_trusted() -> None:
     harness = ScheduleHarness(peers=5)
     harness.schedule.started(0.0)
     harness.fail_until(7000.0)
@@ -90,7 +90,7 @@
     assert len(early_calls) >= harness.schedule.times.outage_calls - 1, early_calls
 
 
-def test_calls_are_made_one_after_the_other_once_discovery_is_taken_for_away() -> None:
+def test_calls_are_made_one_at_a_time_during_an_outage() -> None:
     for peers in (1, 5, 8, 12, 40, 200):
         harness = ScheduleHarness(peers)
         harness.schedule.started(0.0)
@@ -100,8 +100,8 @@
         assert len(later_calls) < LONG_MS / LATE_FAILURE_MS
 
 
-def test_calls_are_made_less_often_once_they_have_failed_late_again_and_again() -> None:
-    """Else they keep discovery busy with those given up, and hold requests while they are out."""
+def test_calls_become_rarer_after_repeated_late_failures() -> None:
+    """Frequent calls would keep discovery busy with those given up, and hold requests while open."""
     for peers, most in ((5, 5000.0), (40, 5000.0), (200, 5000.0)):
         harness = ScheduleHarness(peers)
         harness.schedule.started(0.0)
@@ -113,7 +113,7 @@
         assert 0.75 * most + LATE_FAILURE_MS <= 6000.0
 
 
-def test_one_failed_call_never_shows_that_discovery_is_away() -> None:
+def test_one_failed_call_never_shows_an_outage() -> None:
     for peers in (1, 5, 8, 12, 40, 200, 5000):
         harness = ScheduleHarness(peers)
         harness.schedule.started(0.0)
@@ -124,7 +124,7 @@
         assert harness.schedule.holds(harness.now + LATE_FAILURE_MS + 1.0), peers
 
 
-def test_a_head_shows_that_discovery_is_there() -> None:
+def test_a_response_head_shows_that_discovery_is_up() -> None:
     harness = ScheduleHarness(peers=200)
     harness.schedule.started(0.0)
     harness.schedule.restarted(0.0)
@@ -135,7 +135,7 @@
     assert harness.schedule.holds(harness.now + 1.0)
 
 
-def test_heads_alone_hold_requests_for_longer_and_not_for_good() -> None:
+def test_response_heads_alone_hold_requests_longer_but_not_for_ever() -> None:
     for peers in (1, 5, 40, 200):
         harness = ScheduleHarness(peers)
         schedule, times = harness.schedule, harness.schedule.times
@@ -150,7 +150,7 @@
         assert not held[-1]
 
 
-def test_failures_of_different_ways_show_no_outage() -> None:
+def test_different_kinds_of_failures_show_no_outage() -> None:
     failures = [ENDED_LATE, UNANSWERED] * 10
     schedule = ScheduleHarness(peers=200).schedule
     schedule.restarted(0.0)
@@ -163,7 +163,7 @@
     assert not schedule.holds(100.0 + OUTAGE_CALLS_NO_WATCH)
 
 
-def test_calls_that_are_never_answered_are_no_outage_so_soon() -> None:
+def test_unanswered_calls_show_an_outage_only_after_several() -> None:
     schedule = ScheduleHarness(peers=200).schedule
     schedule.watch_ended(0.0, DiscoveryWatchEnded(last_activity_at=0.0, timed_out=False))
     held_at = schedule.times.hold_after_ms + 1.0
@@ -173,7 +173,7 @@
     assert not schedule.holds(held_at + OUTAGE_CALLS_NO_WATCH)
 
 
-def test_part_of_an_object_counts_though_the_rest_never_comes() -> None:
+def test_an_incomplete_object_holds_requests_though_the_rest_never_comes() -> None:
     schedule = ScheduleHarness(peers=5).schedule
     schedule.started(0.0)
     assert schedule.call_due(schedule.call_at)
--- a/tests/test_discovery_times.py
+++ b/tests/test_discovery_times.py
@@ -1,4 +1,4 @@
-"""The longest chains to a fresh list stay under the time after which changes count as told."""
+"""The longest chains to a fresh list stay below the time after which changes count as notified."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
                     found.append((settings, DiscoveryTimes.of(settings)))
         return found
 
-    def test_a_call_without_an_answer_the_wait_and_a_call_that_delivers_fit(self) -> None:
+    def test_an_unanswered_call_the_backoff_and_a_call_that_returns_the_list_fit(self) -> None:
         for settings, times in self.all():
             self.assertLess(times.failed_call_chain_ms(), NOTIFIED_AFTER_MS - PAUSE_MS, settings)
 
-    def test_a_silent_watch_a_dial_that_never_comes_up_and_a_call_that_delivers_fit(self) -> None:
+    def test_a_silent_watch_a_failed_connection_and_a_call_that_returns_the_list_fit(self) -> None:
         for settings, times in self.all():
             self.assertLess(times.silent_watch_chain_ms(), NOTIFIED_AFTER_MS - PAUSE_MS, settings)
 
-    def test_the_list_is_no_longer_relied_on_before_changes_count_as_told(self) -> None:
+    def test_the_list_is_not_trusted_any_more_before_changes_count_as_notified(self) -> None:
         for settings, times in self.all():
             latest = min(NOTIFIED_AFTER_MS, settings.must_ask_ms) if settings.subscribe else NOTIFIED_AFTER_MS
             self.assertLessEqual(times.hold_after_ms + PAUSE_MS, latest, settings)
             self.assertLessEqual(times.start_hold_after_ms, times.hold_after_ms, settings)
             self.assertGreater(times.max_hold_ms, 0.0)
 
-    def test_a_new_process_relies_on_no_list_until_discovery_has_told(self) -> None:
+    def test_a_new_process_trusts_no_list_until_discovery_has_sent_one(self) -> None:
         for settings, times in self.all():
             schedule = DiscoverySchedule(settings, Random(1))
             if settings.subscribe:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each against the guard that keeps it."""
+"""The rules for attempts and answers: one effect, one answer in time, drains, cold servers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("status", UNSURE)
-def test_unsafe_that_may_have_run_is_failed_not_repeated(status: Status) -> None:
+def test_unsafe_that_may_have_run_is_failed_not_retried(status: Status) -> None:
     s = harness(UNSAFE)
     (first,) = sends(s.ask("r"))
     actions = s.end("r", status, first.endpoint)
@@ -65,7 +65,7 @@
     assert {first.endpoint, second.endpoint} in ({"a", "b"}, {"c", "d"})
 
 
-def test_keyed_is_not_sent_after_the_group_has_forgotten() -> None:
+def test_keyed_is_not_sent_after_the_deduplication_window() -> None:
     s = keyed_harness()
     (first,) = sends(s.ask("r"))
     s.now = 2000.0
@@ -74,7 +74,7 @@
     assert not sends(actions) and [type(a) for a in finals(s.log)] == [api.Fail]
 
 
-def test_no_second_attempt_while_one_is_out() -> None:
+def test_no_second_attempt_while_one_is_open() -> None:
     s = harness(SAFE)
     s.ask("r")
     s.advance_to(999.0)
@@ -131,13 +131,13 @@
     assert cold <= 100 * 0.5 * 0.2 + 1
 
 
-def test_nothing_is_owed_or_sent_after_the_client_is_gone() -> None:
+def test_nothing_is_answered_or_sent_after_the_client_is_gone() -> None:
     s = harness(SAFE)
     (first,) = sends(s.ask("r"))
     actions = s.handle(api.ClientGone("r"))
     assert actions == [api.Cancel("r", 0)]
     assert s.end("r", Status.CANCELLED, first.endpoint) == []
-    assert s.end("r", Status.ERROR, first.endpoint) == []  # told twice
+    assert s.end("r", Status.ERROR, first.endpoint) == []  # reported twice
     assert not s.node.open_requests
 
 
@@ -164,8 +164,8 @@
     assert sum(v.ejected_until > s.now for v in s.node.servers.values()) <= 3
 
 
-def test_one_answer_that_cannot_be_used_ejects_nobody() -> None:
-    # Where a few answers in a hundred come spoilt, ejecting for each one left out half of the fleet.
+def test_single_broken_answers_eject_no_server() -> None:
+    # With a few broken answers in a hundred, an ejection for each would leave out half of the fleet.
     s = harness(SAFE, "abcdefgh")
     for i in range(200):
         s.advance_to(i * 10.0)
@@ -174,8 +174,8 @@
             assert not s.node.outlier_detector.ejected
 
 
-def test_however_many_servers_are_absent_they_are_left_out_at_no_cost_to_the_budget() -> None:
-    # With a cap on those left out, one dead server ate the whole budget of retries.
+def test_all_unreachable_servers_are_ejected_without_cost_to_the_retry_budget() -> None:
+    # With a cap on ejections, one dead server would use up the whole retry budget.
     s = harness(SAFE, "abcdefgh")
     before = s.node.retry_tokens
     for i in range(60):
@@ -188,20 +188,20 @@
     assert s.node.retry_tokens >= before
 
 
-def test_time_outs_of_a_server_that_answers_others_are_load_and_blame_nobody() -> None:
+def test_time_outs_of_a_server_that_answers_others_eject_nobody() -> None:
     s = harness(SAFE, "abcdefgh")
     for i in range(120):
         s.advance_to(i * 10.0)
         (slow,) = sends(s.ask(f"s{i}"))
         (quick,) = sends(s.ask(f"q{i}"))
-        s.node.servers[slow.endpoint].last_response_at = s.now  # another of its answers came meanwhile
+        s.node.servers[slow.endpoint].last_response_at = s.now  # it has answered another request meanwhile
         s.end(f"s{i}", Status.TIMEOUT, slow.endpoint)
         s.end(f"q{i}", Status.OK, quick.endpoint)
     assert not s.node.outlier_detector.ejected
 
 
-def test_gone_servers_are_forgotten_once_nothing_is_out_there() -> None:
-    # A long day sees ever new ones, some at the address of one that is gone.
+def test_gone_servers_are_forgotten_once_no_attempt_is_open_there() -> None:
+    # Over a long time new servers appear, some at the address of one that is gone.
     s = harness(SAFE, "ab")
     (send,) = sends(s.ask("r"))
     s.discover([Endpoint("c")])
@@ -241,7 +241,7 @@
                 c, past = CLASSES[cls[a.request_id]], out[a.request_id]
                 assert a.request_id not in answered and a.endpoint in ready and len(past) < 3
                 for server, sent, status in past:
-                    assert status is not None  # never two at once
+                    assert status is not None  # no parallel attempts
                     if c.effect == Effect.SAFE or status in api.NEVER_RAN:
                         continue
                     assert c.effect == Effect.KEYED and s.now < sent + c.dedup_ms
@@ -266,7 +266,7 @@
         note(s.end(name, status, server, index))
 
     def pass_time(to: float) -> None:
-        while True:  # the deadline of an attempt comes as a time-out, as its sender asked
+        while True:  # an attempt times out at its deadline, as its Send says
             due = [(deadline[n], n, i) for n, v in out.items() for i, a in enumerate(v) if a[2] is None]
             due = [d for d in due if d[0] <= to]
             timer = min(s.timers)[0] if s.timers else float("inf")
@@ -319,7 +319,7 @@
 
 def test_an_attempt_on_a_connection_that_fell_silent_goes_elsewhere_though_its_server_answers() -> None:
     s = harness(SAFE, "abcdefgh")
-    for i in range(200):  # quick answers: twenty deviations are soon over
+    for i in range(200):  # with quick answers, twenty deviations pass soon
         s.advance_to(i * 10.0)
         for x in sends(s.ask(str(i))):
             s.now += 5.0
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""The split: its distribution, ageing, and what it must not believe."""
+"""Server selection: the distribution of draws, decay of loads, misleading samples and slow start."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
     return Counter(s.endpoint.name for s in picked if s is not None)
 
 
-def test_even_without_news() -> None:
+def test_even_without_samples() -> None:
     selector, node = make_selector()
     counts = draw_counts(selector, node, 0.0)
     assert all(abs(n - 1000) < 60 for n in counts.values())
 
 
-def test_weighted_against_load_and_fading_with_age() -> None:
+def test_weights_fall_with_load_and_decay_with_age() -> None:
     selector, node = make_selector()
     selector.observe(node.servers["a"], 8.0, REPORT, 1.0, 0.0)
     fresh, old = draw_counts(selector, node, 0.0)["a"], draw_counts(selector, node, 8 * LOAD_DECAY_MS)["a"]
@@ -57,17 +57,17 @@
     assert draw_counts(selector, node, 0.0)["a"] < 450
 
 
-@pytest.mark.parametrize("figure", [math.nan, math.inf, -5.0, 0.0, 1e300, 1e-300])
-def test_absurd_figures_do_not_poison(figure: float) -> None:
+@pytest.mark.parametrize("sample", [math.nan, math.inf, -5.0, 0.0, 1e300, 1e-300])
+def test_absurd_samples_keep_weights_finite(sample: float) -> None:
     selector, node = make_selector()
     for _ in range(50):
-        selector.observe(node.servers["a"], figure, REPORT, 0.6, 0.0)
+        selector.observe(node.servers["a"], sample, REPORT, 0.6, 0.0)
     weights = [selector.weight(s, 0.0) for s in node.servers.values()]
     assert all(0.0 < w < 1e6 for w in weights)
 
 
 def test_lasting_latency_is_taken_for_size() -> None:
-    # zagreb big-2: old machines held as many requests as new ones and took three times as long.
+    # Old machines may hold as many requests as new ones and take three times as long (zagreb big-2).
     selector, node = make_selector(2)
     a, b = node.servers["a"], node.servers["b"]
     b.group = Group(0.0)
@@ -77,8 +77,8 @@
     assert selector.size(a) > 1.5 * selector.size(b)
 
 
-def test_misleading_figures_lose_their_weight() -> None:
-    # zagreb rough-2: reports seconds late made the split swing.
+def test_misleading_samples_lose_their_weight() -> None:
+    # Reports that are seconds late made the selection oscillate (zagreb rough-2).
     selector, node = make_selector(2)
     a, rng = node.servers["a"], Random(5)
     for t in range(800):
@@ -110,12 +110,12 @@
         if slow_start.allows(server, float(now)):
             server.tokens -= 1.0
             sent += 1
-    # An even share would be 3 sends in 3 s; a budget in the measure of its warmth allows one.
+    # An even share would be 3 sends in 3 s; a budget in proportion to its warmth allows one.
     assert sent <= 1
 
 
-def test_a_key_meets_the_same_server_at_every_node_and_all_keys_together_the_weights() -> None:
-    # Its data are warm there; a random server would do the whole work anew.
+def test_a_key_gets_the_same_server_at_every_node_and_all_keys_follow_the_weights() -> None:
+    # That server has its data cached; a random one would repeat the whole work.
     settings = Settings(classes=(SAFE,), warm_keys=True)
     harnesses = [NodeHarness(settings, "abcdefgh", seed) for seed in (1, 2)]
     nodes = [harness.node for harness in harnesses]
@@ -125,7 +125,7 @@
     assert all(60 <= count <= 140 for count in Counter(names[0]).values())
     harnesses[0].discover(
         [Endpoint("a", state=EndpointState.GONE)], MembershipKind.DELTA
-    )  # others keep theirs
+    )  # the others keep their keys
     after = [
         s.endpoint.name if (s := nodes[0].selector.pick(0.0, nodes[0], f"k{i}", lambda s: True)) else ""
         for i in range(800)
@@ -133,19 +133,19 @@
     assert all(x == y for x, y in zip(names[0], after, strict=True) if x != "a") and "a" not in after
 
 
-def test_the_way_to_another_zone_is_not_taken_for_load_or_size() -> None:
-    # Taken for a small server, the other zone stood idle while this one was overrun.
+def test_network_time_to_another_zone_is_not_taken_for_load_or_size() -> None:
+    # Taken for small, servers of the other zone would be idle while those of this one are overloaded.
     settings = Settings(classes=(SAFE,), zone=0, reports_in_answers=True)
     selector = NodeHarness(settings, "").node.selector
     near, far = (Server(Endpoint(n, zone=z), 0.0, Group(0.0), ready=True) for n, z in (("a", 0), ("b", 1)))
     for i in range(1500):
-        for server, figure in ((near, 1.0), (far, 1.8)):
-            selector.observe(server, figure, LATENCY, 0.0, i * 20.0)
+        for server, sample in ((near, 1.0), (far, 1.8)):
+            selector.observe(server, sample, LATENCY, 0.0, i * 20.0)
     assert abs(selector.size(far) - selector.size(near)) < 0.25
 
 
 def test_a_cold_server_that_reports_spare_capacity_is_given_more() -> None:
-    # The least warmth promised is far less than most have: half of a fleet that came back stood idle.
+    # The settings promise far less than most cold servers can do: half of a returning fleet would be idle.
     slow_start = SlowStart(Settings(classes=(SAFE,), cold_share=0.1, cold_ms=20000.0))
     server = Server(Endpoint("a", started_ms=1.0), 0.0, Group(0.0))
     least = slow_start.warmth(server, 1000.0)
@@ -157,8 +157,9 @@
     assert slow_start.warmth(server, 1000.0) == least
 
 
-def test_a_cold_server_is_given_as_much_more_by_many_nodes_that_each_see_few_of_its_reports() -> None:
-    # Each of 14 saw a seventh of what two see: cold servers stood idle while the rest were jammed.
+def test_cold_servers_get_the_same_boost_from_many_nodes_that_each_see_few_reports() -> None:
+    # Each of 14 nodes sees a seventh of the reports that each of two sees: cold servers would be idle while
+    # others are overloaded.
     given = []
     for peers in (2, 14):
         slow_start = SlowStart(Settings(classes=(SAFE,), cold_share=0.1, cold_ms=20000.0, peers=peers))
@@ -169,8 +170,9 @@
     assert abs(given[0] / given[1] - 1.0) < 0.01
 
 
-def test_outside_its_stretch_a_proxy_asks_warm_servers_only() -> None:
-    # All tokens of the stretch are spent; what it earns there is many times the fleet's share elsewhere.
+def test_outside_its_subset_a_proxy_uses_warm_servers_only() -> None:
+    # All tokens of the subset are spent; at the rate earned there, all proxies together would send a cold
+    # server elsewhere many times its share.
     settings = Settings(classes=(SAFE,), peers=200, rank=7, cold_share=0.2, cold_ms=1e6)
     node = NodeHarness(settings, names="".join(map(chr, range(0x4E00, 0x4E00 + 200)))).node
     selector = node.selector
@@ -185,8 +187,8 @@
     assert list(selector.fallback_candidates(2.0))[1] == [far]
 
 
-# Guards against weights that are never revised because looks for a free server take the table's turns.
-def test_all_of_many_weights_are_revised_in_turn_while_requests_look_for_a_server() -> None:
+# Guards against weights that are never updated because scans for a free server advance the same counter.
+def test_all_of_many_weights_are_updated_in_turn_while_requests_scan_for_a_server() -> None:
     harness = NodeHarness(Settings(classes=(SAFE,), peers=6), "")
     harness.discover([Endpoint(f"s-{i}") for i in range(4096)])
     selector = harness.node.selector
--- a/tests/test_settings_variants.py
+++ b/tests/test_settings_variants.py
@@ -1,4 +1,4 @@
-"""Other customers' settings: whatever they are, each request gets one answer in time, by the rules."""
+"""With any settings a customer may choose, each request gets one answer in time and the rules hold."""
 
 from __future__ import annotations
 
@@ -25,14 +25,18 @@
 from tests.proxy_process import ApplicationServer, ProxyProcessTest, row
 from tests.settings_variants import SETTINGS_VARIANTS
 
-ANSWER_SLACK_MS = 20.0  # of an answer after the client's deadline
-RATE, END_MS, MAX_IDLE_MS = 60.0, 9000.0, 2000.0  # arrivals a second; the day; its most with nothing served
-CALL_MS = 500.0  # discovery answers a call this late, and nothing has changed
+ANSWER_SLACK_MS = 20.0  # by which an answer may exceed the client's deadline
+RATE, END_MS, MAX_IDLE_MS = (
+    60.0,
+    9000.0,
+    2000.0,
+)  # arrivals per second; duration; longest time without a served request
+CALL_MS = 500.0  # discovery answers a call after this time, without changes
 
 
 @dataclass
 class TrackedRequest:
-    """A request as its client and the rules see it."""
+    """A request with its attempts and answers."""
 
     cls: RequestClass
     deadline: float
@@ -41,7 +45,7 @@
 
 
 class Simulation:
-    """One node among servers that serve, one that hangs, one that is away and one that fails at times."""
+    """One node and its servers: one hangs, one is unreachable, one fails at times, the others serve."""
 
     def __init__(self, settings: Settings, zones: int, case: unittest.TestCase) -> None:
         self.settings, self.case, self.rng = settings, case, Random(7)
@@ -52,7 +56,7 @@
         self.requests: dict[str, TrackedRequest] = {}
         self.due: list[tuple[float, int, str, int, Status]] = []
         self.numbers, self.served_at, self.outcomes = iter(range(1 << 30)), 0.0, Counter[str]()
-        self.calls: list[float] = []  # when discovery answers them
+        self.calls: list[float] = []  # when discovery answers open calls
 
     def play(self) -> None:
         now, number = 0.0, 0
@@ -74,7 +78,7 @@
         self.case.assertEqual([n for n, tracked in self.requests.items() if tracked.answers != 1], [])
 
     def until(self, time: float) -> None:
-        """Outcomes, timers and the ends of patience, in the order of their times."""
+        """Play outcomes, timers and answers of discovery in the order of their times."""
         while True:
             timer = min(self.harness.timers)[0] if self.harness.timers else time + 1.0
             outcome = self.due[0][0] if self.due else time + 1.0
@@ -95,7 +99,7 @@
         tracked = self.requests[name]
         server, sent_at, was = tracked.sent[attempt]
         if was is not None:
-            return  # called off
+            return  # cancelled
         tracked.sent[attempt] = (server, sent_at, status)
         over = status == Status.OK and not tracked.answers
         if over:
@@ -165,7 +169,7 @@
 
 
 class EverySetting(unittest.TestCase):
-    def test_each_request_gets_one_answer_in_time_and_servers_that_serve_are_used(self) -> None:
+    def test_each_request_gets_one_answer_in_time_and_working_servers_are_used(self) -> None:
         for name, settings in SETTINGS_VARIANTS.items():
             for zones in (1, 3):
                 with self.subTest(name, zones=zones):
@@ -174,8 +178,8 @@
                     served = day.outcomes["ok"] / sum(day.outcomes.values())
                     self.assertGreater(served, 0.8, day.outcomes)
 
-    def test_who_has_little_patience_is_not_turned_away_on_a_guess(self) -> None:
-        """Danger: what answers take is guessed from the aim; where nothing is sent, nothing is learnt."""
+    def test_short_deadlines_are_not_refused_on_an_initial_estimate(self) -> None:
+        """The first latency estimate is a guess; if nothing were sent, it would never improve."""
         for aim in (2000.0, 9000.0, 60000.0):
             harness = NodeHarness(Settings(classes=(RequestClass(aim, 60000.0, effect=Effect.SAFE),)), "ab")
             for i in range(200):
@@ -183,20 +187,20 @@
                 harness.advance_to(harness.now + 20.0)
                 harness.end(f"r{i}", Status.OK, out.endpoint)
 
-    def test_an_aim_beyond_the_deadline_is_the_deadline(self) -> None:
+    def test_a_target_latency_beyond_the_deadline_is_the_deadline(self) -> None:
         for aim, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
             read = read_settings({"Classes": [{"AimMs": aim, "HardLimitMs": 2000.0}]})
             self.assertEqual(read.classes[0].target_latency_ms, wanted)
 
 
 class TargetBeyondDeadline(ProxyProcessTest):
-    """The same with the real program: an aim so long that all was refused for good."""
+    """The same in a proxy process: too long a target latency would get all requests refused for ever."""
 
     settings: ClassVar[dict[str, Any]] = {
         "Classes": [{"Name": "look", "AimMs": 15000.0, "HardLimitMs": 40000.0, "Effect": "pure"}]
     }
 
-    def test_what_can_be_served_is_served(self) -> None:
+    def test_requests_are_served(self) -> None:
         self.start(row("s-1", self.peer(ApplicationServer())))
         client = self.client()
         for _ in range(10):
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -1,4 +1,4 @@
-"""Requests with less time than an answer takes: refused at once, and no server's fault."""
+"""Requests whose deadline is shorter than an answer takes are refused at once and blamed on no server."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def trained_harness(count: int = 60) -> NodeHarness:
-    """A node that has met nothing but answers after ``USUAL_MS``."""
+    """A node that has seen only answers after ``TYPICAL_MS``."""
     settings = Settings(classes=(SAFE,), max_attempts=3, max_retry_after_ms=2000.0)
     harness = NodeHarness(settings)
     for i in range(count):
@@ -23,7 +23,7 @@
     return harness
 
 
-def test_what_nobody_can_answer_in_time_is_refused_at_once_and_counted_nowhere() -> None:
+def test_requests_without_enough_time_are_refused_at_once_and_not_counted() -> None:
     harness = trained_harness()
     before = harness.node.period.arrivals
     for i in range(100):
@@ -33,15 +33,15 @@
     assert sends(harness.ask("earnest", left=ANSWER_MARGIN_MS + TYPICAL_MS))
 
 
-def test_a_class_that_is_met_slowly_is_never_refused_for_good() -> None:
+def test_a_slow_class_is_not_refused_for_ever() -> None:
     harness = trained_harness()
-    # What was served within the class's deadline has no mean beyond it, however jammed the farm was.
+    # Answers within the class's deadline have no mean beyond it, however overloaded the servers were.
     harness.node.latency[0].mean = SAFE.deadline_ms
     assert sends(harness.ask("next"))
 
 
 def time_out_all(harness: NodeHarness, left: float) -> None:
-    """Thirty requests side by side that end with their clients' patience, nothing else being heard."""
+    """Thirty concurrent requests that time out at their deadline, without any other answer."""
     out = [sends(harness.ask(f"o{i}", left=left)) for i in range(30)]
     assert all(out)
     harness.advance_to(harness.now + left)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("left", "blamed"), [(0.8 * TYPICAL_MS, False), (4.0 * TYPICAL_MS, True)])
-def test_only_a_time_out_after_the_usual_time_is_a_servers_fault(left: float, blamed: bool) -> None:
+def test_only_a_time_out_after_the_typical_latency_is_blamed_on_the_server(left: float, blamed: bool) -> None:
     harness = trained_harness()
     time_out_all(harness, left)
     servers = harness.node.servers.values()
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Cold servers under what all proxies send to them together."""
+"""Slow start: the load that all proxies together put on a cold server."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class Cold(unittest.TestCase):
-    def test_the_sum_of_all_proxies_keeps_a_cold_server_up(self) -> None:
-        """Danger: it falls at over N + 2 root N + 2 requests, N being a multiple of what it has by then."""
+    def test_all_proxies_together_do_not_overload_a_cold_server(self) -> None:
+        """A cold server fails at N + 2 sqrt(N) + 2 requests, N being a multiple of its capacity by then."""
         proxies, share, span, multiple, fall_ms = 200, 0.13, 22000.0, 3.0, 3000.0
         capacity = 25.0  # requests a second, warm; each proxy's even share makes it busy to 0.8
         settings = Settings(classes=(SAFE,), peers=proxies, cold_share=share, cold_ms=span)
@@ -23,7 +23,7 @@
             row = Endpoint("a", started_ms=1.0)
             harness = NodeHarness(settings, seed=seed)
             server = Server(row, 1.0, Group(1.0))
-            harness.node.server_listed(server)  # draws its first token
+            harness.node.server_listed(server)  # a random first token
             for now in range(1, int(span), 20):
                 if slow.allows(server, float(now)):
                     server.tokens -= 1.0
