--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -1,8 +1,7 @@
-"""Between sockets and decisions: news becomes the module's events, its actions become I/O.
+"""Connects the decision module to the network: what happens becomes its events, its actions become I/O.
 
-Nothing here knows a protocol. A client's side hands in a Call and is told of one final answer
-through ClientSide; the application servers' side carries attempts. Another protocol needs
-its own two sides, not another proxy. No decision is taken here.
+Independent of any protocol and takes no decision. The client side submits a ClientRequest and gets one final
+answer through Responder; the application server side carries attempts. Another protocol adds its own two.
 """
 
 from __future__ import annotations
