--- a/lupinlink/lab/virtual.py
+++ b/lupinlink/lab/virtual.py
@@ -393,7 +393,7 @@
         names = list(cls)
         call = net.ClientRequest(
             name, ask.want.class_index, ask.want.member, ask.deadline - now, ask.is_retry, "GET",
-            f"/{names[ask.want.class_index]}/{ask.want.key}", [], Body.of(b""), str(ask.want.key),
+            f"/{names[ask.want.class_index]}/{ask.want.key}", [], Body.from_bytes(b""), str(ask.want.key),
         )  # fmt: skip
         handle = self.proxies[ask.proxy].take(call, agent)
         agent.handle = handle
--- a/lupinlink/net/application_servers/connection.py
+++ b/lupinlink/net/application_servers/connection.py
@@ -14,7 +14,7 @@
 from lupinlink.net.application_servers.outcomes import kept, outcome, read_report
 from lupinlink.net.application_servers.pool import Pool
 from lupinlink.net.application_servers.sending import ConnectionOpener, SendingConnection
-from lupinlink.net.bodies import SMALL_BYTES, ResponseStream
+from lupinlink.net.bodies import SMALL_BODY_BYTES, ResponseStream
 from lupinlink.net.request_types import AttemptResult, Reply
 from lupinlink.net.twisted_types import READ_BYTES
 
@@ -91,7 +91,7 @@
             return False
         if length is None:
             return self._parser.body_received > UNTOLD_BYTES
-        return length > SMALL_BYTES and self._parser.body_received >= FIRST_BYTES
+        return length > SMALL_BODY_BYTES and self._parser.body_received >= FIRST_BYTES
 
     def _begin_flow(self) -> None:
         """Pass the answer on as it comes. For its attempt that is the end; the connection stays busy."""
@@ -115,7 +115,7 @@
         if message is not None:
             self._end_flow(message, reuse=not self._parser.buffer and message.keeps_open())
         else:
-            self._flow.data(self._parser.take_body())
+            self._flow.on_data(self._parser.take_body())
 
     def _end_flow(self, message: http1.Message | None, reuse: bool = False) -> None:
         """``message``: holds the last bytes; None: it broke off."""
@@ -126,10 +126,10 @@
         self._rest(reuse)
         if message is None:
             self._servers.counters["flows_broken"] += 1
-            flow.broken()
+            flow.on_error()
         else:
-            flow.data(message.body)
-            flow.ended()
+            flow.on_data(message.body)
+            flow.on_end()
 
     def _look_at_flow(self, flow: ResponseStream) -> None:
         if self._flow is not flow:
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -14,7 +14,7 @@
 from lupinlink.net import http1
 from lupinlink.net.application_servers.attempts import Attempt, ServerPools
 from lupinlink.net.application_servers.pool import Pool, PooledConnection
-from lupinlink.net.bodies import SMALL_BYTES, Body
+from lupinlink.net.bodies import SMALL_BODY_BYTES, Body
 from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.socket_peek import peek
 from lupinlink.net.timer_wheel import Timer
@@ -84,7 +84,7 @@
         self._written, self._sent, self._starved = False, 0, False
         self._parser.for_head_request = attempt.only_head
         if self._body is not None:
-            self._body.more = self._more
+            self._body.on_data = self._more
         if not self._ends_unasked():
             self._write_now()
             self.pool.sent_at = self._servers.clock.now()
@@ -137,7 +137,7 @@
             self.transport.unregisterProducer()
 
     def _more(self) -> None:
-        if self._starved or (self._body is not None and self._body.broken):
+        if self._starved or (self._body is not None and self._body.truncated):
             self._starved = False
             self._pump()
 
@@ -145,15 +145,15 @@
         """Send on what is here of the request's body."""
         body = self._body
         assert body is not None
-        if body.broken:
+        if body.truncated:
             # Its end is never to be written, so it never runs.
             self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
             return
         data = body.read(self._sent, WRITE_BYTES)
         self._sent += len(data)
-        last = body.whole and self._sent == body.end
+        last = body.complete and self._sent == body.end
         if last:
-            self._body, body.more = None, None
+            self._body, body.on_data = None, None
         out = data
         if body.length is None:
             out = http1.chunk(data) + (http1.LAST_CHUNK if last else b"")
@@ -166,7 +166,7 @@
             self.resumeProducing()
         else:
             self._starved = True
-        body.sent(self._sent)
+        body.mark_sent(self._sent)
 
     def _stalled(self, attempt: Attempt | None) -> None:
         # Timers that come due together all run: by now it may carry another.
@@ -198,7 +198,7 @@
 
         Danger: what is seen here may still not be given to a read. Nothing may be tried until it is.
         """
-        for _ in range(SMALL_BYTES // READ_BYTES + 1):
+        for _ in range(SMALL_BODY_BYTES // READ_BYTES + 1):
             if self._attempt is None or not peek(self.transport):
                 break
             self.transport.doRead()
@@ -235,4 +235,4 @@
         """What is still to be sent of a request never will be, from here."""
         body, self._body = self._body, None
         if body is not None:
-            body.more = None
+            body.on_data = None
--- a/lupinlink/net/bodies.py
+++ b/lupinlink/net/bodies.py
@@ -1,112 +1,114 @@
-"""Bodies on their way through: what is held of them, out of one common budget. No I/O."""
+"""Buffers for bodies in transit: request bodies within one memory budget, and streamed answers. No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 
-WHOLE_BYTES = 256 * 1024  # a request's body up to this is held whole, so that it can be sent again
-TIGHT = 0.5  # share of the budget from which on bodies go out as soon as they are no small ones
-SMALL_BYTES = 64 * 1024
-WINDOW_BYTES = 128 * 1024  # held of a body that flows through; its sender waits beyond
+REPLAY_LIMIT_BYTES = 256 * 1024  # request bodies up to this size are kept whole, for retries
+PRESSURE_SHARE = 0.5  # above this share of the budget every body that is not small is streamed
+SMALL_BODY_BYTES = 64 * 1024
+STREAM_WINDOW_BYTES = 128 * 1024  # buffered of a streamed body before its sender has to wait
 
 
 class BodyBudget:
-    """Bytes that all bodies together may hold."""
+    """The memory that all request bodies together may take, in bytes."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes, self.held_bytes = limit_bytes, 0
 
     @property
-    def tight(self) -> bool:
-        return self.held > TIGHT * self.most
+    def under_pressure(self) -> bool:
+        return self.held_bytes > PRESSURE_SHARE * self.limit_bytes
 
     @property
-    def spent(self) -> bool:
-        return self.held > self.most
+    def exceeded(self) -> bool:
+        return self.held_bytes > self.limit_bytes
 
 
 class Body:
-    """A request's body: bytes in at one end, read from any place that is still held.
+    """A request body: appended at one end, readable from any offset that is still buffered.
 
-    ``more`` is called when there is more to read, or its end; ``room`` when the sender may go on;
-    ``committed`` once, when the first byte is let go and the body can be sent no second time.
+    Callbacks: ``on_data`` when more is readable or the body has ended; ``on_room`` when the sender may
+    continue; ``on_discard`` once, when the first byte is dropped, after which it cannot be sent again.
     """
 
     __slots__ = (
         "_budget",
         "_pieces",
-        "broken",
-        "committed",
+        "complete",
         "end",
         "length",
-        "more",
-        "room",
+        "on_data",
+        "on_discard",
+        "on_room",
         "start",
-        "whole",
+        "truncated",
     )
 
     def __init__(self, budget: BodyBudget, length: int | None) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
-        self.length = length  # as its head tells; None: not told
-        self.start = self.end = 0  # the offsets of what is held
-        self.whole = self.broken = False
-        self.more: Callable[[], None] | None = None
-        self.room: Callable[[], None] | None = None
-        self.committed: Callable[[], None] | None = None
+        self.length = length  # declared by the request's head; None: not declared
+        self.start = self.end = 0  # offsets of the buffered part
+        self.complete = self.truncated = False
+        self.on_data: Callable[[], None] | None = None
+        self.on_room: Callable[[], None] | None = None
+        self.on_discard: Callable[[], None] | None = None
 
     @classmethod
-    def of(cls, data: bytes, budget: BodyBudget | None = None) -> Body:
-        """A body that is here already."""
+    def from_bytes(cls, data: bytes, budget: BodyBudget | None = None) -> Body:
+        """A complete body."""
         body = cls(budget or BodyBudget(0), len(data))
         body.add(data)
         body.finish()
         return body
 
     def __len__(self) -> int:
-        """Bytes held."""
+        """Bytes buffered."""
         return self.end - self.start
 
     @property
-    def repeatable(self) -> bool:
-        """Whether all that has come is still held."""
+    def replayable(self) -> bool:
+        """Whether everything received is still buffered, so that it can be sent again."""
         return self.start == 0
 
     @property
-    def flows(self) -> bool:
-        """Whether it is too large to be waited for."""
-        return len(self) >= (SMALL_BYTES if self._budget.tight else WHOLE_BYTES)
+    def is_large(self) -> bool:
+        """Whether it is sent on before its end, as it is too large to be buffered whole."""
+        return len(self) >= (SMALL_BODY_BYTES if self._budget.under_pressure else REPLAY_LIMIT_BYTES)
 
     @property
     def full(self) -> bool:
-        """Whether its sender must wait until some of it has gone on."""
-        return len(self) >= (SMALL_BYTES if self._budget.tight else WINDOW_BYTES + WHOLE_BYTES)
+        """Whether its sender has to wait until some of it has been sent on."""
+        return len(self) >= (
+            SMALL_BODY_BYTES if self._budget.under_pressure else STREAM_WINDOW_BYTES + REPLAY_LIMIT_BYTES
+        )
 
     def add(self, data: bytes) -> None:
-        """What has come."""
+        """Append received bytes."""
         if data:
             self._pieces.append(data)
             self.end += len(data)
-            self._budget.held += len(data)
-            if self.more is not None:
-                self.more()
+            self._budget.held_bytes += len(data)
+            if self.on_data is not None:
+                self.on_data()
 
     def finish(self) -> None:
-        """The last byte is here."""
-        self.whole = True
-        if self.more is not None:
-            self.more()
-
-    def break_off(self) -> None:
-        """Its sender has gone before the last byte."""
-        if not self.whole:
-            self.broken = True
-            if self.more is not None:
-                self.more()
+        """Mark the body as complete: its last byte has been added."""
+        self.complete = True
+        if self.on_data is not None:
+            self.on_data()
+
+    def abort(self) -> None:
+        """Mark the body as truncated, unless it is complete: its sender is gone."""
+        if not self.complete:
+            self.truncated = True
+            if self.on_data is not None:
+                self.on_data()
 
     def read(self, offset: int, most: int) -> bytes:
-        """Up to ``most`` bytes from there; empty: none are here yet."""
+        """Up to ``most`` bytes from ``offset``; empty if none have been received yet."""
         found, at = [], self.start
         for piece in self._pieces:
             if at + len(piece) > offset and most > 0:
@@ -116,38 +118,40 @@
             at += len(piece)
         return b"".join(found)
 
-    def sent(self, offset: int) -> None:
-        """All before ``offset`` has gone out; what cannot be held whole is let go."""
-        if self.start or (len(self) > WHOLE_BYTES or (self._budget.tight and len(self) > SMALL_BYTES)):
+    def mark_sent(self, offset: int) -> None:
+        """Everything before ``offset`` has been sent; drops it if the body is too large to be kept whole."""
+        if self.start or (
+            len(self) > REPLAY_LIMIT_BYTES or (self._budget.under_pressure and len(self) > SMALL_BODY_BYTES)
+        ):
             self._release(offset)
-            if self.room is not None and not self.full:
-                self.room()
+            if self.on_room is not None and not self.full:
+                self.on_room()
 
     def _release(self, offset: int) -> None:
         first = not self.start
         while self._pieces and self.start + len(self._pieces[0]) <= offset:
             size = len(self._pieces.popleft())
             self.start += size
-            self._budget.held -= size
-        if first and self.start and self.committed is not None:
-            self.committed()
+            self._budget.held_bytes -= size
+        if first and self.start and self.on_discard is not None:
+            self.on_discard()
 
-    def drop(self) -> None:
-        """Nobody needs it any more."""
-        self._budget.held -= len(self)
+    def discard(self) -> None:
+        """Free the buffer and the callbacks."""
+        self._budget.held_bytes -= len(self)
         self._pieces.clear()
         self.start = self.end
-        self.more = self.room = self.committed = None
+        self.on_data = self.on_room = self.on_discard = None
 
 
 class ResponseStream:
-    """An answer that is passed on as it comes: from an attempt to a client, which may hold it back.
+    """An answer that is streamed from an attempt to a client, with backpressure.
 
-    ``length``: of the whole body, where it is known. The attempt gives ``pause``, ``resume``, ``stop``; the
-    client's side sets ``data``, ``ended`` and ``broken``, and counts in ``passed`` what it wrote.
+    ``length``: of the whole body, None if unknown. The attempt provides ``pause``, ``resume``, ``stop``; the
+    client side sets ``on_data``, ``on_end``, ``on_error`` and counts the bytes it wrote in ``sent_bytes``.
     """
 
-    __slots__ = ("broken", "data", "ended", "length", "passed", "pause", "resume", "stop")
+    __slots__ = ("length", "on_data", "on_end", "on_error", "pause", "resume", "sent_bytes", "stop")
 
     def __init__(
         self,
@@ -157,7 +161,7 @@
         stop: Callable[[], None],
     ) -> None:
         self.length, self.pause, self.resume, self.stop = length, pause, resume, stop
-        self.passed = 0
-        self.data: Callable[[bytes], None] = lambda data: None
-        self.ended: Callable[[], None] = lambda: None
-        self.broken: Callable[[], None] = lambda: None
+        self.sent_bytes = 0
+        self.on_data: Callable[[bytes], None] = lambda data: None
+        self.on_end: Callable[[], None] = lambda: None
+        self.on_error: Callable[[], None] = lambda: None
--- a/lupinlink/net/clients/listener.py
+++ b/lupinlink/net/clients/listener.py
@@ -187,7 +187,7 @@
     def resize(self, cap: int, spare_mb: float) -> None:
         """Have room for so many connections; whoever is beyond it stays until it goes."""
         self.connections.capacity = cap
-        self.budget.most = max(2 * http1.MAX_BODY, int(spare_mb * HELD_SHARE * 1024.0 * 1024.0))
+        self.budget.limit_bytes = max(2 * http1.MAX_BODY, int(spare_mb * HELD_SHARE * 1024.0 * 1024.0))
         self.accept_paused = self.connections.full
         self.listen()
 
@@ -202,7 +202,7 @@
 
     def gauges(self) -> dict[str, int]:
         """The size of every table here."""
-        return {**self._places.gauges(), "bytes_held": self.budget.held}
+        return {**self._places.gauges(), "bytes_held": self.budget.held_bytes}
 
     def _sweep(self) -> None:
         if self._lifecycle.accepts():
--- a/lupinlink/net/clients/requests.py
+++ b/lupinlink/net/clients/requests.py
@@ -67,8 +67,8 @@
         if owed and request is not None:
             self._clients.proxy.client_left(request)
         if intake is not None:
-            intake.call.body.break_off()
-            intake.call.body.drop()
+            intake.call.body.abort()
+            intake.call.body.discard()
         if flow is not None:
             flow.stop()
 
@@ -76,7 +76,7 @@
         """Bytes still to go of a long answer or of a body that comes, and how many of both do not tell."""
         told, untold = 0, 0
         if self._flow is not None and self._flow.length is not None:
-            told = max(0, self._flow.length - self._flow.passed) + int(self._still_to_read())
+            told = max(0, self._flow.length - self._flow.sent_bytes) + int(self._still_to_read())
         elif self._flow is not None:
             untold = 1
         body = self._intake.call.body if self._intake is not None else None
@@ -153,17 +153,17 @@
 
     def _give(self, call: ClientRequest) -> None:
         """To the decisions, unless its client has closed already: for nobody, nothing is sent on."""
-        if call.body.whole and self.has_left():
+        if call.body.complete and self.has_left():
             self._clients.counters["left_unheard"] += 1
             self._deaf = True  # its end is read next
-            call.body.drop()
+            call.body.discard()
             return
         self._waiting, self._request = True, None
         request = self._clients.proxy.submit(call, self)
         if self._waiting:
             self._request = request
         else:
-            call.body.drop()
+            call.body.discard()
 
     def _receive(self, head: http1.Message) -> None:
         """A head is here, and a body that is not whole yet."""
@@ -174,7 +174,7 @@
             call = self._read(head, head.target.partition("?")[0])
             call.body.length = self._parser.length
             intake = self._intake = IncomingRequest(call, BodyProgress(now))
-            call.body.room = lambda: self._go_on(intake)
+            call.body.on_room = lambda: self._go_on(intake)
             if (head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, data = intake.call.body, self._parser.take_body()
@@ -182,9 +182,9 @@
             intake.progress.received(len(data), now)
             body.add(data)
         if not self._waiting:
-            if self._clients.budget.spent:
+            if self._clients.budget.exceeded:
                 raise http1.MessageError(503, "no room for this request now")
-            if body.flows:
+            if body.is_large:
                 self._clients.counters["bodies_flowing"] += 1
                 self.asked = True
                 self._clients.enter(self, Phase.OPEN)
--- a/lupinlink/net/clients/responses.py
+++ b/lupinlink/net/clients/responses.py
@@ -102,7 +102,7 @@
         self._chunked = length == http1.CHUNKED
         self._keep = self._keep and length is not None and self._clients.keeps(self)
         self._flow = flow
-        flow.data, flow.ended, flow.broken = self._flow_data, self._flow_ended, self.abort
+        flow.on_data, flow.on_end, flow.on_error = self._flow_data, self._flow_ended, self.abort
         with suppress(OSError, AttributeError):
             self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, FLOW_SEND_BYTES)
         self.transport.write(http1.response_head(200, reply.headers, length, close=not self._keep))
@@ -110,7 +110,7 @@
 
     def _flow_data(self, data: bytes) -> None:
         if data and self._flow is not None:
-            self._flow.passed += len(data)
+            self._flow.sent_bytes += len(data)
             self.transport.write(http1.chunk(data) if self._chunked else data)
 
     def _flow_ended(self) -> None:
--- a/lupinlink/net/open_requests.py
+++ b/lupinlink/net/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open: taken in once, answered once, let go once no attempt of them is out."""
+"""The table of open requests: each is answered once, and removed when no attempt of it is in flight."""
 
 from __future__ import annotations
 
@@ -15,193 +15,201 @@
 from lupinlink.net.slots import Slots
 from lupinlink.settings import Settings
 
-log = logging.getLogger("lupinlink.net.proxy")  # one source in the log for both halves
-MARGIN_MS = 20.0  # the module's deadline lies this far before the client's: an answer takes time to arrive
-GUARD_MS = 10.0  # and this long after the module's, what is still open is ended here
-# The time of a request counts from its last byte, which of a body that flows is yet to come: its client's
-# side ends it when it stops, so the module is told a deadline beyond all that may come.
-FLOWING_MS = 1_200_000.0
+log = logging.getLogger("lupinlink.net.proxy")  # shared with Proxy, which extends this class
+CLIENT_MARGIN_MS = 20.0  # the module's deadline is this much before the client's, for the answer's way back
+GUARD_DELAY_MS = 10.0  # a request that the module has not ended is ended here this long after its deadline
+# The time of a request counts from its last byte, which is still to come while its body is streamed. The
+# client side ends an upload that stalls, so the module gets a deadline beyond the end of any upload.
+UPLOAD_LIMIT_MS = 1_200_000.0
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request from its receipt until it has its answer and no attempt of it is out."""
+    """A request, from its receipt until it is answered and no attempt of it is in flight."""
 
-    call: ClientRequest
-    side: Responder | None  # None once nothing is owed any more
+    request: ClientRequest
+    responder: Responder | None  # None once it is answered or its client has left
     deadline: float
-    guard: int = 0
-    out: int = 0
+    guard_timer: int = 0
+    attempts_in_flight: int = 0
     server: str = ""  # of the last attempt
-    committed: bool = False  # an attempt is out that cannot be repeated; the module has let go of the request
-    may_have_run: bool = False  # one of its attempts did not prove that it never ran
+    committed: bool = (
+        False  # its body cannot be sent again: the attempt in flight is the last; the module is done
+    )
+    may_have_run: bool = False  # at least one attempt may have been executed by its server
     attempts: list[OpenAttempt] = field(default_factory=list)
 
 
 class OpenRequests:
-    """The table of them. Each gets one final answer, whatever the decisions make of it."""
+    """The table. Each request gets exactly one final answer, even if the decision module fails."""
 
     def __init__(self, settings: Settings, clock: Clock, counters: Counters) -> None:
         self.counters = counters
         self._settings, self._clock = settings, clock
         self._requests: Slots[OpenRequest] = Slots(settings.max_open_requests)
-        self._identities: set[str] = set()  # of all calls that are open, or have an attempt out
-        # What a fleet file adds; without one neither is there. ``admits``: the time to tell in ms of a call
-        # that is over its quota, None of one that may go on; ``settled``: nothing is owed for it any more.
+        self._identities: set[str] = set()  # of all requests in the table
+        # Set by the fleet extension. ``quota_check``: None if the request is within its quota, else the time
+        # in ms after which to retry. ``on_settled``: the request is answered or its client has left.
         self.quota_check: Callable[[ClientRequest], float | None] | None = None
         self.on_settled: Callable[[ClientRequest], None] | None = None
 
     def handle(self, event: api.Event) -> None:
-        """Give the decisions an event and carry out what they decide."""
+        """Pass an event to the decision module and carry out its actions."""
         raise NotImplementedError
 
     @property
     def open(self) -> int:
-        """Requests that still owe an answer."""
-        return sum(1 for taken in self._requests if taken.side is not None)
+        """The number of requests that are not answered yet."""
+        return sum(1 for entry in self._requests if entry.responder is not None)
 
-    def submit(self, call: ClientRequest, side: Responder) -> int | None:
-        """A call is here with its last byte; its handle, or None if it was answered on the spot."""
-        if call.identity in self._identities:
-            # Sent on, it would be a second copy of the other's request.
+    def submit(self, request: ClientRequest, responder: Responder) -> int | None:
+        """Add a request; returns its handle, or None if it was answered at once.
+
+        Its body is complete, or it is streamed and ``body_completed`` follows.
+        """
+        if request.identity in self._identities:
+            # Application servers would take it for a copy of the open request with this identity.
             self.counters["duplicates"] += 1
-            side.failed(FailureReason.DUPLICATE)
+            responder.failed(FailureReason.DUPLICATE)
             return None
         if self._requests.full:
-            self._turn_away(side, RefusalReason.TABLE_FULL, 0.0)
+            self._answer_refused(responder, RefusalReason.TABLE_FULL, 0.0)
             return None
-        if self.quota_check is not None and not self._admitted(call, side):
+        if self.quota_check is not None and not self._within_quota(request, responder):
             return None
         self.counters["requests"] += 1
         now = self._clock.now()
-        deadline = now + (self._span(call, call.waited_ms) if call.body.whole else FLOWING_MS)
-        handle = self._requests.add(OpenRequest(call, side, deadline))
-        self._identities.add(call.identity)
-        taken = self._requests.get(handle)
-        assert taken is not None
-        if call.body.whole:
-            self._set_guard(handle, taken)
+        deadline = now + (
+            self._time_left_ms(request, request.waited_ms) if request.body.complete else UPLOAD_LIMIT_MS
+        )
+        handle = self._requests.add(OpenRequest(request, responder, deadline))
+        self._identities.add(request.identity)
+        entry = self._requests.get(handle)
+        assert entry is not None
+        if request.body.complete:
+            self._set_guard_timer(handle, entry)
         else:
-            call.body.committed = lambda: self._commit(handle)
-        tenant, retry = call.tenant, call.is_retry
-        self.handle(api.Arrival(str(handle), call.class_index, tenant, deadline, retry, call.key))
+            request.body.on_discard = lambda: self._commit(handle)
+        tenant, retry = request.tenant, request.is_retry
+        self.handle(api.Arrival(str(handle), request.class_index, tenant, deadline, retry, request.key))
         return handle
 
-    def _admitted(self, call: ClientRequest, side: Responder) -> bool:
-        """Whether the fleet's quotas let a call on; who is not let on has its answer."""
+    def _within_quota(self, request: ClientRequest, responder: Responder) -> bool:
+        """Whether the request is within the fleet's quotas; if not, it is answered here."""
         assert self.quota_check is not None
         try:
-            retry_after_ms = self.quota_check(call)
+            retry_after_ms = self.quota_check(request)
         except Exception:
-            # Let on, it would go past the quota unseen.
+            # Admitting it would bypass the quota.
             log.exception("quota failed")
             self.counters["internal_errors"] += 1
             self.counters["failed"] += 1
-            side.failed(FailureReason.INTERNAL)
+            responder.failed(FailureReason.INTERNAL)
             return False
         if retry_after_ms is not None:
-            self._turn_away(side, RefusalReason.QUOTA, retry_after_ms)
+            self._answer_refused(responder, RefusalReason.QUOTA, retry_after_ms)
         return retry_after_ms is None
 
-    def _turn_away(self, side: Responder, why: RefusalReason, retry_after_ms: float) -> None:
-        """The one place that counts refusals. Trying again is harmless, and the client is told so."""
+    def _answer_refused(self, responder: Responder, why: RefusalReason, retry_after_ms: float) -> None:
+        """Refuse a request, which says that a retry is safe. The one place that counts refusals."""
         self.counters["refused"] += 1
         self.counters[f"refused_{why.value}"] += 1
-        side.refused(retry_after_ms, why is RefusalReason.QUOTA)
+        responder.refused(retry_after_ms, why is RefusalReason.QUOTA)
 
-    def _span(self, call: ClientRequest, waited_ms: float) -> float:
-        """How long from now the module has for an answer, in ms; never below 0.
+    def _time_left_ms(self, request: ClientRequest, waited_ms: float) -> float:
+        """How long the module has from now to get an answer, in ms; never below 0.
 
-        Of a request that may have waited an unknown while nothing is taken to be left, and so the module
-        refuses it at once: a front that has not yet seen this process die hands it what it held, and the
-        client's time may have run out meanwhile (herd+mass: held 1.06 s, of 0.668 s).
+        0 if it is unknown how long the request has waited, so that the module refuses it at once: a load
+        balancer that has not noticed that this process died forwards the requests that it held, whose time
+        may have run out (scenario herd+mass: held for 1.06 s with 0.668 s to live).
         """
         if math.isinf(waited_ms):
             return 0.0
-        return max(0.0, max(call.expires_ms - MARGIN_MS, call.expires_ms / 2.0) - waited_ms)
+        return max(0.0, max(request.expires_ms - CLIENT_MARGIN_MS, request.expires_ms / 2.0) - waited_ms)
 
-    def _set_guard(self, handle: int, taken: OpenRequest) -> None:
-        at = taken.deadline + GUARD_MS
-        taken.guard = self._clock.at(at, lambda: self.end(handle, FailureReason.TOO_LATE))
+    def _set_guard_timer(self, handle: int, entry: OpenRequest) -> None:
+        at = entry.deadline + GUARD_DELAY_MS
+        entry.guard_timer = self._clock.at(at, lambda: self.end(handle, FailureReason.TOO_LATE))
 
     def body_completed(self, handle: int) -> None:
-        """The last byte of a body that flows is here: its time counts from now on."""
-        taken = self._requests.get(handle)
-        if taken is not None and taken.side is not None:
-            taken.deadline = self._clock.now() + self._span(taken.call, 0.0)  # the last byte is just here
-            self._set_guard(handle, taken)
-            if taken.out:
-                taken.attempts[-1].set_deadline(taken.deadline)
+        """Note that a streamed body is complete: the request's time counts from now on."""
+        entry = self._requests.get(handle)
+        if entry is not None and entry.responder is not None:
+            entry.deadline = self._clock.now() + self._time_left_ms(entry.request, 0.0)
+            self._set_guard_timer(handle, entry)
+            if entry.attempts_in_flight:
+                entry.attempts[-1].set_deadline(entry.deadline)
 
     def _commit(self, handle: int) -> None:
-        """Bytes that a repeat would need are gone: the attempt that is out is the last, the shell's alone.
+        """Make the attempt in flight the last: bytes of the body that a retry would need have been dropped.
 
-        To the module it was not sent: how long an upload takes says nothing of its server's delay.
+        The module is told that it was not sent, as the time an upload takes says nothing about its server's
+        latency. From here on the attempt is handled without the module.
         """
-        taken = self._requests.get(handle)
-        if taken is not None and not taken.committed:
-            taken.committed = True
+        entry = self._requests.get(handle)
+        if entry is not None and not entry.committed:
+            entry.committed = True
             self.counters["attempts_committed"] += 1
-            index = len(taken.attempts) - 1
-            self.handle(api.Outcome(str(handle), Status.NOT_SENT, 0.0, index, True, taken.server, None))
+            index = len(entry.attempts) - 1
+            self.handle(api.Outcome(str(handle), Status.NOT_SENT, 0.0, index, True, entry.server, None))
 
     def client_left(self, handle: int) -> None:
-        """The client has left."""
-        taken = self._requests.get(handle)
-        if taken is not None and taken.side is not None:
+        """Drop a request whose client has closed its connection."""
+        entry = self._requests.get(handle)
+        if entry is not None and entry.responder is not None:
             self.counters["clients_gone"] += 1
-            self._settle(taken)
-            self._let_go(handle, taken)
+            self._take_responder(entry)
+            self._abandon(handle, entry)
 
-    def _let_go(self, handle: int, taken: OpenRequest) -> None:
-        """Nobody waits for it any more."""
+    def _abandon(self, handle: int, entry: OpenRequest) -> None:
+        """Stop the request: nobody waits for its answer any more."""
         self.handle(api.ClientGone(str(handle)))
-        if taken.committed:
-            taken.attempts[-1].give_up(Status.CANCELLED)
+        if entry.committed:
+            entry.attempts[-1].give_up(Status.CANCELLED)
         self._release(handle)
 
     def end(self, handle: int, why: FailureReason) -> None:
-        """Answer what the module did not, so that no request is lost to a fault or a stop."""
-        taken = self._requests.get(handle)
-        if taken is not None and taken.side is not None:
+        """Answer a request that the module has not answered: at a defect, past its deadline, or at a stop."""
+        entry = self._requests.get(handle)
+        if entry is not None and entry.responder is not None:
             log.warning("request ended without the module", extra={"kv": {"why": why.value}})
-            self._answer_failed(taken, why)
-            self._let_go(handle, taken)
+            self._answer_failed(entry, why)
+            self._abandon(handle, entry)
 
     def end_all(self) -> None:
-        """The program must stop: every open request gets a whole answer now."""
+        """Answer every open request now, as the process is about to exit."""
         for handle in self._requests.handles():
             self.end(handle, FailureReason.TOO_LATE)
 
-    def _settle(self, taken: OpenRequest) -> Responder | None:
-        """Nothing is owed for this request from here on."""
-        side, taken.side = taken.side, None
-        self._clock.drop(taken.guard)
-        if side is not None and self.on_settled is not None:
-            self._tell_settled(taken.call)
-        return side
+    def _take_responder(self, entry: OpenRequest) -> Responder | None:
+        """Mark the request as settled; returns its responder, None if it was settled before."""
+        responder, entry.responder = entry.responder, None
+        self._clock.drop(entry.guard_timer)
+        if responder is not None and self.on_settled is not None:
+            self._notify_settled(entry.request)
+        return responder
 
-    def _tell_settled(self, call: ClientRequest) -> None:
+    def _notify_settled(self, request: ClientRequest) -> None:
         assert self.on_settled is not None
         try:
-            self.on_settled(call)
-        except Exception:  # the answer goes out whatever the fleet's shell makes of it
+            self.on_settled(request)
+        except Exception:  # a defect in the fleet extension must not keep the answer from going out
             log.exception("settling failed")
             self.counters["internal_errors"] += 1
 
     def _release(self, handle: int) -> None:
-        """Nothing is owed any more: what has not begun to be sent never is, cancelling allowed or not."""
-        taken = self._requests.get(handle)
-        if taken is None or taken.side is not None:
+        """Remove a settled request; cancels attempts that are not sent yet, even where ``Cancel`` is off."""
+        entry = self._requests.get(handle)
+        if entry is None or entry.responder is not None:
             return
-        for attempt in taken.attempts:
-            attempt.cancel_if_unsent()  # the last to end releases it
-        if not taken.out and self._requests.remove(handle) is not None:
-            self._identities.discard(taken.call.identity)
-            taken.call.body.drop()
-
-    def _answer_failed(self, taken: OpenRequest, why: FailureReason) -> None:
-        side = self._settle(taken)
-        if side is not None:
+        for attempt in entry.attempts:
+            attempt.cancel_if_unsent()  # the last attempt to end calls _release again
+        if not entry.attempts_in_flight and self._requests.remove(handle) is not None:
+            self._identities.discard(entry.request.identity)
+            entry.request.body.discard()
+
+    def _answer_failed(self, entry: OpenRequest, why: FailureReason) -> None:
+        responder = self._take_responder(entry)
+        if responder is not None:
             self.counters["failed"] += 1
-            side.failed(why)
+            responder.failed(why)
--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -43,19 +43,19 @@
         seed: int,
         clock: Clock,
         servers: ApplicationServerSide,
-        watch: Callable[[], None],
+        subscribe_to_list: Callable[[], None],
         counters: Counters,
     ) -> None:
         super().__init__(settings, clock, counters)
         self._module = Balancer(settings, Random(seed))
-        self._servers, self._watch = servers, watch
+        self._servers, self._subscribe_to_list = servers, subscribe_to_list
         self._events: deque[api.Event] = deque()
-        self._busy = False
-        # A fleet file's: told of the load reports that servers send along, and how each attempt ended.
+        self._handling = False
+        # Set by the fleet extension: called with each load report of a server, and with how attempts ended.
         self.on_load_report: Callable[[str, Mapping[str, float]], None] | None = None
         self.on_attempt_ended: Callable[[str, Status], None] | None = None
         self.on_trust_changed: Callable[[api.ListTrustChanged], None] = lambda change: None
-        self._carry: dict[type, Callable[..., None]] = {
+        self._action_handlers: dict[type, Callable[..., None]] = {
             api.Send: self._send,
             api.Cancel: self._cancel,
             api.Refuse: self._refuse,
@@ -72,50 +72,50 @@
                 **self._module.sizes()}  # fmt: skip
 
     def membership_changed(self, kind: MembershipKind, endpoints: list[api.Endpoint]) -> None:
-        """The list of backends has changed, or asking for it failed."""
+        """Pass on a change of the list of backends, or that asking for it failed."""
         self.handle(api.Membership(kind, endpoints))
 
     def handle_soon(self, event: api.Event) -> None:
-        """As ``tell``, from the middle of a read: told before any other event, within a tick at the latest.
+        """As ``handle``, from the middle of a read: before any other event, at most a timer tick later.
 
-        Danger: told at once, the module would send by this news while more of what was read lies unheard.
+        Handled at once, it would make the module send while the rest of what was read is still unparsed.
         """
         self._events.append(event)
-        if not self._busy:
+        if not self._handling:
             self._clock.after(0.0, self._run)
 
     def handle(self, event: api.Event) -> None:
-        """Give the module an event and carry out its actions; what they cause waits for its turn."""
+        """Pass an event to the module and carry out its actions; events that these cause are queued."""
         self._events.append(event)
         self._run()
 
     def list_is_held(self) -> bool:
-        """Whether no request may be written just now, by the module's word."""
+        """Whether the module holds requests at present, as it does not trust its list of backends."""
         return self._module.discovery.holds(self._clock.now())
 
     def _run(self) -> None:
-        """Give the module the events that wait."""
-        if self._busy:
+        """Pass the queued events to the module."""
+        if self._handling:
             return
-        self._busy = True
+        self._handling = True
         try:
             while self._events:
-                self._step(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
-            self._busy = False
+            self._handling = False
 
-    def _step(self, event: api.Event) -> None:
+    def _handle_event(self, event: api.Event) -> None:
         broken = False
         try:
             actions = self._module.handle(self._clock.now(), event)
         except Exception:
-            # What the module had decided before it broke still holds: without its timers it would stop.
+            # The actions decided before the exception still hold: without its timers the module would stop.
             log.exception("decision failed", extra={"kv": {"event": type(event).__name__}})
             self.counters["internal_errors"] += 1
             actions, broken = self._module.actions, True
         for action in actions:
             try:
-                self._carry[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("action failed", extra={"kv": {"action": type(action).__name__}})
                 self.counters["internal_errors"] += 1
@@ -126,35 +126,35 @@
 
     def _send(self, action: api.Send) -> None:
         handle = int(action.request_id)
-        taken = self._requests.get(handle)
-        if taken is None:
+        entry = self._requests.get(handle)
+        if entry is None:
             return
         now = self._clock.now()
-        left = taken.deadline - now
+        left = entry.deadline - now
         timeout = left if action.timeout_ms == 0.0 else min(action.timeout_ms, left)
         self.counters["attempts"] += 1
         if log.isEnabledFor(logging.DEBUG):
-            log.debug("attempt", extra={"kv": {"id": taken.call.identity, "server": action.endpoint}})
-        index = len(taken.attempts)
-        taken.server = action.endpoint
-        taken.out += 1  # before: it may be seen just there that its client has left
+            log.debug("attempt", extra={"kv": {"id": entry.request.identity, "server": action.endpoint}})
+        index = len(entry.attempts)
+        entry.server = action.endpoint
+        entry.attempts_in_flight += 1  # before start(), which may find out that the client has left
         try:
             attempt = self._servers.start(
-                action.endpoint, taken.call, timeout, action.begin_by, lambda: self._wanted(handle)
+                action.endpoint, entry.request, timeout, action.begin_by, lambda: self._wanted(handle)
             )
         except Exception:
-            taken.out -= 1
+            entry.attempts_in_flight -= 1
             raise
-        taken.attempts.append(attempt)
+        entry.attempts.append(attempt)
         attempt.ended.addCallback(self._attempt_ended, handle, index, action.endpoint, now)
         attempt.ended.addErrback(self._attempt_broken, handle)
 
     def _wanted(self, handle: int) -> bool:
-        """Whether its client still waits; an end that waits unread is one all the same."""
-        taken = self._requests.get(handle)
-        if taken is not None and taken.side is not None and taken.side.has_left():
+        """Whether the client still waits; one that closed its connection does not, even if that is unread."""
+        entry = self._requests.get(handle)
+        if entry is not None and entry.responder is not None and entry.responder.has_left():
             self.client_left(handle)
-        return taken is not None and taken.side is not None
+        return entry is not None and entry.responder is not None
 
     def _attempt_ended(self, end: AttemptResult, handle: int, i: int, server: str, sent_at: float) -> None:
         self.counters[f"attempts_{end.status.name.lower()}"] += 1
@@ -162,41 +162,41 @@
             self.on_load_report(server, end.report)
         if self.on_attempt_ended is not None:
             self.on_attempt_ended(server, end.status)
-        taken = self._requests.get(handle)
-        if taken is None:
+        entry = self._requests.get(handle)
+        if entry is None:
             return
-        taken.out -= 1
-        taken.may_have_run = taken.may_have_run or end.status not in api.NEVER_RAN
+        entry.attempts_in_flight -= 1
+        entry.may_have_run = entry.may_have_run or end.status not in api.NEVER_RAN
         if end.reply is not None:
-            side = self._settle(taken)
-            if side is not None:
+            responder = self._take_responder(entry)
+            if responder is not None:
                 self.counters["served"] += 1
-                side.served(end.reply)
+                responder.served(end.reply)
             elif end.reply.flow is not None:
                 end.reply.flow.stop()
-        elif taken.committed:
-            self._end_committed(taken)
-        if taken.committed:
+        elif entry.committed:
+            self._end_committed(entry)
+        if entry.committed:
             self._release(handle)
             return
         took = self._clock.now() - sent_at
-        closed = taken.side is None
+        closed = entry.responder is None
         self.handle(api.Outcome(str(handle), end.status, took, i, closed, server, end.report))
         self._release(handle)
 
-    def _end_committed(self, taken: OpenRequest) -> None:
+    def _end_committed(self, entry: OpenRequest) -> None:
         """Answer a request whose committed attempt brought no reply.
 
         If none of its attempts can have run, the answer says that a retry is safe.
         """
-        if taken.may_have_run:  # or it was rejected: nobody will take it
-            self._answer_failed(taken, FailureReason.NOT_SERVED)
+        if entry.may_have_run:  # or was rejected as a bad request, which a retry would not change
+            self._answer_failed(entry, FailureReason.NOT_SERVED)
             return
-        cls = self._settings.classes[taken.call.class_index]
-        side = self._settle(taken)
-        if side is not None:
-            self._turn_away(
-                side,
+        cls = self._settings.classes[entry.request.class_index]
+        responder = self._take_responder(entry)
+        if responder is not None:
+            self._answer_refused(
+                responder,
                 RefusalReason.NEVER_RAN,
                 min(self._settings.max_retry_after_ms, cls.target_latency_ms / 2.0),
             )
@@ -207,25 +207,25 @@
         self.end(handle, FailureReason.INTERNAL)
 
     def _cancel(self, action: api.Cancel) -> None:
-        taken = self._requests.get(int(action.request_id))
-        if taken is not None and 0 <= action.attempt < len(taken.attempts):
-            taken.attempts[action.attempt].give_up(Status.CANCELLED)
+        entry = self._requests.get(int(action.request_id))
+        if entry is not None and 0 <= action.attempt < len(entry.attempts):
+            entry.attempts[action.attempt].give_up(Status.CANCELLED)
 
     def _refuse(self, action: api.Refuse) -> None:
         handle = int(action.request_id)
-        taken = self._requests.get(handle)
-        side = self._settle(taken) if taken is not None else None
-        if side is not None:
+        entry = self._requests.get(handle)
+        responder = self._take_responder(entry) if entry is not None else None
+        if responder is not None:
             self.counters[f"refused_for_{action.cause.value}"] += 1
-            self._turn_away(side, RefusalReason.MODULE, action.retry_after_ms)
+            self._answer_refused(responder, RefusalReason.MODULE, action.retry_after_ms)
         self._release(handle)
 
     def _fail(self, action: api.Fail) -> None:
         handle = int(action.request_id)
-        taken = self._requests.get(handle)
-        if taken is not None:
-            late = self._clock.now() >= taken.deadline
-            self._answer_failed(taken, FailureReason.TOO_LATE if late else FailureReason.NOT_SERVED)
+        entry = self._requests.get(handle)
+        if entry is not None:
+            late = self._clock.now() >= entry.deadline
+            self._answer_failed(entry, FailureReason.TOO_LATE if late else FailureReason.NOT_SERVED)
         self._release(handle)
 
     def _set_timer(self, action: api.SetTimer) -> None:
@@ -244,7 +244,7 @@
         self._servers.probe(server).addCallback(probed)
 
     def _subscribe(self, action: api.Subscribe) -> None:
-        self._watch()
+        self._subscribe_to_list()
 
     def _trust_changed(self, action: api.ListTrustChanged) -> None:
         self.on_trust_changed(action)
--- a/lupinlink/net/request_types.py
+++ b/lupinlink/net/request_types.py
@@ -1,4 +1,7 @@
-"""What clients, decisions and application servers say to each other here, in terms of no protocol."""
+"""Requests, replies and results that the client side, the proxy and the application server side exchange.
+
+Independent of the protocol that clients or application servers speak.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class FailureReason(Enum):
-    """Why a final answer is 'failed'."""
+    """Why a request is answered as failed; the value is the text of the answer."""
 
     NOT_SERVED = "not served"
     TOO_LATE = "no answer in time"
@@ -23,19 +26,19 @@
 
 
 class RefusalReason(Enum):
-    """Why a final answer is a refusal; as counted, behind ``refused_``."""
+    """Why a request is refused; the value is the counter's name after ``refused_``."""
 
     TABLE_FULL = "table_full"
     MODULE = "module"
-    NEVER_RAN = "never_ran"  # the application servers turned it away, and it cannot be sent again from here
+    NEVER_RAN = "never_ran"  # application servers refused it, and its body is no longer here for a retry
     QUOTA = "quota"
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a client asks, in terms that the decisions and the application servers share."""
+    """A client's request."""
 
-    identity: str  # no two open calls may share it
+    identity: str  # no two open requests may share it
     class_index: int
     tenant: int
     expires_ms: float
@@ -44,26 +47,26 @@
     target: str
     headers: list[tuple[str, str]]
     body: Body
-    key: str = ""  # what it is about, where it says so
-    # How long it may have waited before this process could read it: 0 read at once, inf not known (it was
-    # held for us before this process listened); its time is counted from when its client sent it.
+    key: str = ""  # of the item it asks for; empty if it names none
+    # How long it may have waited before this process could read it, which counts against its time. 0: it was
+    # read at once; inf: unknown, as it may have been sent before this process listened.
     waited_ms: float = 0.0
-    address: str = ""  # of who is connected here: of a front, where one stands before us
+    address: str = ""  # of the TCP peer, which may be a load balancer in front of this proxy
 
 
 @dataclass(slots=True)
 class Reply:
-    """What an application server answered to a call that it served."""
+    """An application server's answer to a request that it served."""
 
     headers: list[tuple[str, str]]
-    body: bytes  # all of it, or what is here of one that flows
+    body: bytes  # the whole body, or the part received so far if ``flow`` is set
     flow: ResponseStream | None = None
-    length: int | None = None  # where the body itself was not asked for
+    length: int | None = None  # of the body that a HEAD request did not ask for
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended."""
+    """How an attempt or a probe ended."""
 
     status: Status
     reply: Reply | None = None
@@ -71,16 +74,17 @@
 
 
 class Responder(Protocol):
-    """Takes the one final answer of a call."""
+    """Sends a client the one final answer to its request."""
 
     def served(self, reply: Reply) -> None: ...
     def refused(self, retry_after_ms: float, over_quota: bool = False) -> None: ...
     def failed(self, why: FailureReason) -> None: ...
-    def has_left(self) -> bool: ...
+    def has_left(self) -> bool:
+        """Whether the client has closed its connection."""
 
 
 class OpenAttempt(Protocol):
-    """One attempt that is out; ``ended`` fires once."""
+    """An attempt in flight; ``ended`` fires once."""
 
     ended: Deferred[AttemptResult]
 
@@ -90,7 +94,7 @@
 
 
 class ApplicationServerSide(Protocol):
-    """Carries attempts and probes."""
+    """Sends attempts and probes to application servers."""
 
     def start(
         self,
@@ -100,6 +104,10 @@
         begin_by_ms: float,
         wanted: Callable[[], bool],
     ) -> OpenAttempt:
-        """``begin_by_ms``: no later may it arrive there; ``wanted``: asked just before it is written."""
+        """Start an attempt.
+
+        ``begin_by_ms``: when it has to have arrived at the server; ``wanted``: called just before the request
+        is written, False cancels it.
+        """
 
     def probe(self, server: str) -> Deferred[AttemptResult]: ...
--- a/tests/discovery_drive.py
+++ b/tests/discovery_drive.py
@@ -138,8 +138,10 @@
         if self._parts is not None:
             self._number += 1
             self._fed.append(self.clock.now)
-            call = ClientRequest(str(self._number), 0, 0, 1000.0, False, "GET", "/look", [], Body.of(b""))
-            self._parts.proxy.submit(call, Side(self._answers))
+            request = ClientRequest(
+                str(self._number), 0, 0, 1000.0, False, "GET", "/look", [], Body.from_bytes(b"")
+            )
+            self._parts.proxy.submit(request, Side(self._answers))
         since = [self.clock.now - at for at in self._told_by_time]
         if any(DENSE[0] <= one < DENSE[1] for one in since):
             return DENSE_MS
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -18,7 +18,7 @@
 from lupinlink.interface import Endpoint, Status
 from lupinlink.net.application_servers import ApplicationServers
 from lupinlink.net.application_servers.attempts import Attempt
-from lupinlink.net.bodies import SMALL_BYTES, Body
+from lupinlink.net.bodies import SMALL_BODY_BYTES, Body
 from lupinlink.net.counters import Counters
 from lupinlink.net.request_types import AttemptResult, ClientRequest
 from lupinlink.net.timer_wheel import ReactorClock
@@ -57,7 +57,7 @@
                 end.close()
 
     def attempt(self, body: bytes = b"", method: str = "POST") -> tuple[Attempt, list[AttemptResult]]:
-        call = ClientRequest("t", 0, 0, LONG_MS, False, method, "/x", [], Body.of(body))
+        call = ClientRequest("t", 0, 0, LONG_MS, False, method, "/x", [], Body.from_bytes(body))
         attempt = self.servers.start("s-1", call, LONG_MS, self.clock.now() + LONG_MS, lambda: True)
         ends: list[AttemptResult] = []
         attempt.ended.addCallback(ends.append)
@@ -171,7 +171,7 @@
         server, connection = self.kept()
         connection.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        body = b"x" * (3 * SMALL_BYTES)
+        body = b"x" * (3 * SMALL_BODY_BYTES)
         _, ends = self.attempt(body)
         self.turn_until(lambda: select.select([server], [], [], 0)[0])
         got = server.recv(1024)
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.task import Clock
 
-from lupinlink.net.bodies import WHOLE_BYTES
+from lupinlink.net.bodies import REPLAY_LIMIT_BYTES
 from lupinlink.net.client_drain import ClientDrain
 from lupinlink.net.clients import Clients, Listener
 from lupinlink.net.counters import Counters
@@ -53,7 +53,7 @@
     def test_a_body_that_never_ends_is_answered_before_the_kill_of_short_deadlines(self) -> None:
         server = self.peer(ApplicationServer(None))
         self.start(row("s-1", server))
-        size = 2 * WHOLE_BYTES
+        size = 2 * REPLAY_LIMIT_BYTES
         head = b"POST /look/1 HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: %d\r\n\r\n" % size
         upload = self.connect(head + b"x" * (size - 1))  # with the decisions; its time has not begun
         self.settle(bodies_flowing=1)
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -286,7 +286,7 @@
 
     def _attempt_ended(self, end: Any, handle: int, *rest: Any) -> None:
         taken = self._requests.get(handle)
-        side = taken.side if taken is not None else None
+        side = taken.responder if taken is not None else None
         super()._attempt_ended(end, handle, *rest)
         if Sinner.sin == "twice" and side is not None and end.status is Status.OK and handle % 50 == 0:
             side.served(end.reply)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -186,7 +186,7 @@
 
     def offer(self, waited: float = 0.0) -> int | None:
         call = ClientRequest(
-            f"t{waited}", 0, 0, 900.0, False, "POST", "/", [], Body.of(b""), waited_ms=waited
+            f"t{waited}", 0, 0, 900.0, False, "POST", "/", [], Body.from_bytes(b""), waited_ms=waited
         )
         return self.proxy.submit(call, self.side)
 
--- a/tests/test_news_before_write.py
+++ b/tests/test_news_before_write.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lupinlink.interface import EndpointState, Status
-from lupinlink.net.bodies import SMALL_BYTES
+from lupinlink.net.bodies import SMALL_BODY_BYTES
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
 from lupinlink.net.lists import MAX_LIST
@@ -74,7 +74,7 @@
         self.checked(lambda: self.loop.attempt(b"body")[1], kept=False)
 
     def test_of_a_body_that_is_passed_on(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BYTES))[1], kept=True)
+        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BODY_BYTES))[1], kept=True)
 
     def test_of_a_probe(self) -> None:
         self.checked(self.probe, kept=True)
--- a/tests/test_split_messages.py
+++ b/tests/test_split_messages.py
@@ -9,7 +9,7 @@
 
 from lupinlink.limits.body_progress import GRACE_MS, MIN_BYTES_PER_MS, STALL_TIMEOUT_MS, BodyProgress
 from lupinlink.net import http1
-from lupinlink.net.bodies import SMALL_BYTES, WHOLE_BYTES, Body, BodyBudget
+from lupinlink.net.bodies import REPLAY_LIMIT_BYTES, SMALL_BODY_BYTES, Body, BodyBudget
 
 FORMS = [
     b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -50,25 +50,25 @@
     ) -> None:
         budget = BodyBudget(400_000)
         body, got, said = Body(budget, None), b"", list[bool]()
-        body.committed = lambda: said.append(body.repeatable)
+        body.on_discard = lambda: said.append(body.replayable)
         for piece in pieces:
             body.add(piece)
             if data.draw(st.booleans()):
                 got += body.read(len(got), 64 * 1024)
-                body.sent(len(got))
-            self.assertEqual(budget.held, len(body))
+                body.mark_sent(len(got))
+            self.assertEqual(budget.held_bytes, len(body))
         while more := body.read(len(got), 64 * 1024):
             got += more
-            body.sent(len(got))
+            body.mark_sent(len(got))
         self.assertEqual(got, b"".join(pieces))
-        self.assertEqual((bool(said), any(said)), (not body.repeatable, False))
-        if len(got) <= SMALL_BYTES:
-            self.assertTrue(body.repeatable)
-        if body.repeatable:
-            self.assertLessEqual(len(body), WHOLE_BYTES)
+        self.assertEqual((bool(said), any(said)), (not body.replayable, False))
+        if len(got) <= SMALL_BODY_BYTES:
+            self.assertTrue(body.replayable)
+        if body.replayable:
+            self.assertLessEqual(len(body), REPLAY_LIMIT_BYTES)
             self.assertEqual(body.read(0, len(got)), got)
-        body.drop()
-        self.assertEqual(budget.held, 0)
+        body.discard()
+        self.assertEqual(budget.held_bytes, 0)
 
     def test_progress_is_a_rate_and_waiting_for_us_is_no_delay(self) -> None:
         body = BodyProgress(0.0)
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -13,7 +13,7 @@
 from lupinlink.interface import Status
 from lupinlink.net.application_servers.dialling import Dial
 from lupinlink.net.application_servers.sending import SendingConnection
-from lupinlink.net.bodies import SMALL_BYTES
+from lupinlink.net.bodies import SMALL_BODY_BYTES
 from lupinlink.net.request_types import AttemptResult
 from tests.manual_reactor import ManualReactorTest, news_that
 from tests.proxy_process import NEVER_RAN, OK, WAIT
@@ -51,7 +51,7 @@
 
     def test_of_a_long_body_only_the_head_goes_at_once_and_the_rest_follows(self) -> None:
         server, connection = self.loop.kept()
-        body = b"x" * (3 * SMALL_BYTES)
+        body = b"x" * (3 * SMALL_BODY_BYTES)
         _, ends = self.loop.attempt(body)
         head = self.came(server)
         self.assertTrue(head.endswith(b"\r\n\r\n"))  # nobody holds the attempt yet that a body may commit
@@ -67,7 +67,7 @@
         self.assertEqual(ends[0].status, Status.OK)
 
     def test_a_break_before_the_last_byte_proves_that_it_never_ran_and_after_it_not(self) -> None:
-        for size, status in ((0, Status.RESET), (3 * SMALL_BYTES, Status.UNREACHABLE)):
+        for size, status in ((0, Status.RESET), (3 * SMALL_BODY_BYTES, Status.UNREACHABLE)):
             server, _ = self.loop.kept()
             _, ends = self.loop.attempt(b"x" * size)
             server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
