--- a/lupinlink/net/__init__.py
+++ b/lupinlink/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy's network side: sockets in, events to the decisions, their actions out."""
+"""Network side of the proxy: turns socket events into events of the decision module, and performs its actions."""
--- a/lupinlink/net/lifecycle.py
+++ b/lupinlink/net/lifecycle.py
@@ -1,7 +1,8 @@
-"""Where this process stands: starting, in service, draining, handing over, stopping. Pure; time is handed in.
+"""The state of this process: starting, in service, draining, handing over, stopping.
 
-The one place that says what ``/up`` and ``ready`` answer, whether kept connections stay after an answer, when
-those at rest must go, and when the process may leave. Times are milliseconds of the caller's clock.
+The single place that decides what ``/up`` and ``ready`` answer, whether connections are kept open after an
+answer, when idle ones are closed, and when the process may exit. Performs no I/O; the caller passes the
+current time. Times are milliseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -9,27 +10,28 @@
 import math
 from enum import Enum
 
-# In a drain the front still sends new connections for some 0.3 s, and what stands open 4 s after the call is
-# too late. Those that are still used end with their answers; the rest go when most have had that chance.
+# After the call to drain, the front still sends new connections for about 0.3 s, and connections open 4 s
+# later are lost. Connections in use close after their next answer; idle ones are closed at this time,
+# when most clients have had that chance.
 DRAIN_IDLE_MS = 1500.0
-# After SIGTERM connections keep coming for up to 0.4 s; what comes from 0.7 s on and is open at the kill is
-# lost. The kill comes the longest deadline (counted as 3 s where it is longer) and 0.7 s after SIGTERM
-# at the earliest. So idle connections are closed after the last new one may have come, and what is still open
-# shortly before the kill gets its answer then. These are the protocol's; the deadlines are the settings'.
-STOP_IDLE_MS, QUIET_MS = 500.0, 700.0
-KILL_MS, LONGEST_MS = 700.0, 3000.0
-# A new process is sent no clients until discovery has confirmed its list: it would hold their requests. It
-# has to be ready within 6 s, and starts within a second or two.
+# After SIGTERM, new connections arrive for up to 0.4 s; one that arrives after 0.7 s and is open at the kill
+# is lost. The kill comes at the earliest 0.7 s plus the longest deadline (at most 3 s) after SIGTERM.
+# So idle connections are closed after the last new one can have arrived, and open requests are answered
+# shortly before the kill. The deadlines come from the settings, the other times from the protocol.
+STOP_IDLE_MS, STOP_STAY_MS = 500.0, 700.0
+KILL_AFTER_DEADLINE_MS, MAX_DEADLINE_MS = 700.0, 3000.0
+# A new process is sent no clients until discovery has confirmed its list, since it would hold their
+# requests. It has to be ready within 6 s, and starts within a second or two.
 LIST_WAIT_MS = 4000.0
-LAST_MS, LEAVE_MS = 300.0, 100.0  # before the kill: time to write every answer, and to be gone
-# With a successor, whoever is told to go comes back to it; crossing a request is worse than waiting
-# for the idle limit, after which clients do not come back on a connection.
-HANDED_IDLE_MS = 2500.0
-HANDED_LEAVE_MS = 3000.0  # an old process stays so long in any case: its successor may yet fail
+ANSWER_BEFORE_KILL_MS, EXIT_BEFORE_KILL_MS = 300.0, 100.0  # time to write every answer, and to exit
+# A client whose connection is closed after a handover reconnects to the successor. A close that crosses a
+# request is worse than waiting for the idle limit, after which clients do not reuse a connection.
+HANDED_OVER_IDLE_MS = 2500.0
+HANDED_OVER_STAY_MS = 3000.0  # the old process stays at least this long: its successor may still fail
 
 
 class LifecycleState(Enum):
-    """What an operator is told."""
+    """The state as reported to operators."""
 
     STARTING = "starting"
     IN_SERVICE = "in service"
@@ -39,27 +41,30 @@
 
 
 class Lifecycle:
-    """The state; every call may come at any time, and twice."""
-
-    def __init__(self, longest_ms: float = LONGEST_MS) -> None:
-        """``longest_ms``: the longest deadline of the settings."""
-        kill = min(longest_ms, LONGEST_MS) + KILL_MS
-        # With deadlines so short that the kill comes next, newcomers have their time all the same.
-        self.last_ms, self.leave_ms = max(kill - LAST_MS, STOP_IDLE_MS), max(kill - LEAVE_MS, QUIET_MS)
+    """The state machine; every method may be called at any time, and repeatedly."""
+
+    def __init__(self, max_deadline_ms: float = MAX_DEADLINE_MS) -> None:
+        """``max_deadline_ms``: the longest deadline in the settings."""
+        kill = min(max_deadline_ms, MAX_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS
+        # Even where short deadlines bring the kill early, late connections get their minimum time.
+        self.answer_all_ms, self.exit_ms = (
+            max(kill - ANSWER_BEFORE_KILL_MS, STOP_IDLE_MS),
+            max(kill - EXIT_BEFORE_KILL_MS, STOP_STAY_MS),
+        )
         self._serving = False
         self._list_settled = False
         self._drained_at: float | None = None
-        self._handed_at: float | None = None
+        self._handed_over_at: float | None = None
         self._stopping_at: float | None = None
 
     @property
     def state(self) -> LifecycleState:
-        """What weighs most of what holds."""
+        """The state that takes precedence where several apply."""
         if self._stopping_at is not None:
             return LifecycleState.STOPPING
         if not self._serving:
             return LifecycleState.STARTING
-        if self._handed_at is not None:
+        if self._handed_over_at is not None:
             return LifecycleState.HANDING_OVER
         return LifecycleState.IN_SERVICE if self._drained_at is None else LifecycleState.DRAINING
 
@@ -69,52 +74,52 @@
 
     @property
     def serving(self) -> bool:
-        """Whether the listener has ever stood."""
+        """Whether the listener has ever been open."""
         return self._serving
 
     @property
     def drained(self) -> bool:
-        """Whether the operators want no clients here; it outlasts an upgrade."""
+        """Whether operators have taken this proxy out of service; an upgrade preserves this."""
         return self._drained_at is not None
 
     @property
     def handed_over(self) -> bool:
-        """Whether a successor serves in this process's place."""
-        return self._handed_at is not None
+        """Whether a successor process serves in place of this one."""
+        return self._handed_over_at is not None
 
     def serve(self) -> None:
-        """The listener stands."""
+        """The listener is open."""
         self._serving = True
 
     @property
     def list_settled(self) -> bool:
-        """Whether requests are sent by the list of backends, or this was waited for long enough."""
+        """Whether the list of backends is trusted for sending requests, or the wait for that has timed out."""
         return self._list_settled
 
     def settle_list(self) -> None:
-        """Wait for the list of backends no longer; it may be called again."""
+        """Stop waiting for the list of backends to be trusted."""
         self._list_settled = True
 
     def out_of_service(self, now: float) -> None:
-        """Drain; a second call does not start it anew."""
+        """Start to drain; a second call does not restart the time."""
         if self._drained_at is None:
             self._drained_at = now
 
     def in_service(self) -> None:
-        """Take clients again; harmless without a drain and in the middle of one."""
+        """Accept clients again; may be called in the middle of a drain or without one."""
         self._drained_at = None
 
     def hand_over(self, now: float) -> None:
-        """A successor serves from here on."""
-        if self._handed_at is None:
-            self._handed_at = now
+        """A successor serves from now on."""
+        if self._handed_over_at is None:
+            self._handed_over_at = now
 
     def cancel_handover(self) -> None:
-        """The successor has gone before this process did."""
-        self._handed_at = None
+        """The successor has ended before this process did; serve again."""
+        self._handed_over_at = None
 
     def stop(self, now: float) -> None:
-        """SIGTERM; only the first counts."""
+        """Start to stop, as on SIGTERM; later calls have no effect."""
         if self._stopping_at is None:
             self._stopping_at = now
 
@@ -128,31 +133,37 @@
         return self._serving and servers_ready > 0 and self._stopping_at is None
 
     def accepts(self) -> bool:
-        """Whether new connections are taken here and not by a successor."""
-        return self._serving and self._handed_at is None
+        """Whether this process, and not a successor, accepts new connections."""
+        return self._serving and self._handed_over_at is None
 
     def keeps_connections(self) -> bool:
         """Whether a connection stays open after its answer."""
-        return self._drained_at is None and self._handed_at is None and self._stopping_at is None
+        return self._drained_at is None and self._handed_over_at is None and self._stopping_at is None
 
     def close_idle_from(self) -> float:
-        """When connections at rest are to go at once; infinite while they may stay."""
+        """The time from which idle connections are closed at once; infinite while they may stay."""
         ends = []
         if self._stopping_at is not None:
-            handed = self._handed_at is not None
-            ends.append(self._stopping_at + (min(HANDED_IDLE_MS, self.last_ms) if handed else STOP_IDLE_MS))
+            handed = self._handed_over_at is not None
+            ends.append(
+                self._stopping_at + (min(HANDED_OVER_IDLE_MS, self.answer_all_ms) if handed else STOP_IDLE_MS)
+            )
         if self._drained_at is not None:
             ends.append(self._drained_at + DRAIN_IDLE_MS)
         return min(ends, default=math.inf)
 
     def must_answer_now(self, now: float) -> bool:
-        """Whether what is still open must get its answer now."""
-        return self._stopping_at is not None and now - self._stopping_at >= self.last_ms
+        """Whether all open requests must be answered now, since the kill is near."""
+        return self._stopping_at is not None and now - self._stopping_at >= self.answer_all_ms
 
     def may_exit(self, now: float, left: int) -> bool:
-        """Whether the process may end; ``left``: connections of clients and requests still here."""
+        """Whether the process may exit; ``left``: client connections and requests that remain."""
         if self._stopping_at is not None:
             since = now - self._stopping_at
-            quiet = since >= QUIET_MS or self._handed_at is not None
-            return since >= self.leave_ms or (quiet and not left)
-        return self._handed_at is not None and now - self._handed_at >= HANDED_LEAVE_MS and not left
+            quiet = since >= STOP_STAY_MS or self._handed_over_at is not None
+            return since >= self.exit_ms or (quiet and not left)
+        return (
+            self._handed_over_at is not None
+            and now - self._handed_over_at >= HANDED_OVER_STAY_MS
+            and not left
+        )
--- a/lupinlink/net/process.py
+++ b/lupinlink/net/process.py
@@ -1,4 +1,4 @@
-"""What the system grants this process, what it holds, and when its memory is looked through."""
+"""Process resources: the limit of file descriptors, resident memory, and garbage collection."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from lupinlink.clock import Clock
 
-COLLECT_MS = 5000.0  # with what startup made set aside it takes a millisecond or two
+COLLECT_INTERVAL_MS = 5000.0  # a collection takes a millisecond or two, as startup objects are frozen
 
 
-def allowed(sockets: int) -> int:
-    """As many descriptors as told, or fewer where the system grants this process fewer."""
+def raise_descriptor_limit(sockets: int) -> int:
+    """Raise the soft limit to ``sockets`` if it is lower; returns the descriptors that may be used."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < sockets:
         soft = sockets if hard == resource.RLIM_INFINITY else min(sockets, hard)
@@ -22,20 +22,20 @@
 
 
 def resident_mb() -> float:
-    """What this process has in memory, in MiB."""
+    """Resident memory of this process, in MiB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1048576.0
 
 
-def collect_by_time(clock: Clock) -> None:
-    """From here on: what startup has made stays for good, collections over it would only be pauses."""
+def collect_garbage_by_timer(clock: Clock) -> None:
+    """Freeze what startup has allocated, since scanning it would only cause pauses, and collect on a timer."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(20000, 20, 50)
 
     def collect() -> None:
-        """Old cycles, such as closed connections, go by the clock: by number they would pile up for hours."""
+        """Free cycles such as closed connections; by allocation counts they would pile up for hours."""
         gc.collect()
-        clock.after(COLLECT_MS, collect)
+        clock.after(COLLECT_INTERVAL_MS, collect)
 
-    clock.after(COLLECT_MS, collect)
+    clock.after(COLLECT_INTERVAL_MS, collect)
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -31,11 +31,11 @@
             (9e3, 3400.0, 3600.0),
         ):
             state = Lifecycle(longest)
-            self.assertEqual((state.last_ms, state.leave_ms), (last, leave))
+            self.assertEqual((state.answer_all_ms, state.exit_ms), (last, leave))
         for longest in (50.0, 150.0, 700.0, 2999.0, 3001.0):
             state = Lifecycle(longest)
             kill = min(longest, 3000.0) + 700.0
-            self.assertTrue(STOP_IDLE_MS <= state.last_ms < state.leave_ms < kill, longest)
+            self.assertTrue(STOP_IDLE_MS <= state.answer_all_ms < state.exit_ms < kill, longest)
 
     def test_with_a_successor_rests_end_before_the_kill_too(self) -> None:
         state = Lifecycle(1000.0)
@@ -96,7 +96,7 @@
         self.listening.accept()[0].close()
 
     def test_who_waits_there_is_taken_before_the_process_ends(self) -> None:
-        self.lifecycle.stop(self.clock.now() - self.lifecycle.last_ms)  # long quiet, and time to leave
+        self.lifecycle.stop(self.clock.now() - self.lifecycle.answer_all_ms)  # long quiet, and time to leave
         left = list[bool]()
         Leavers(cast(Any, self), lambda: left.append(True)).watch()
         self.assertEqual(left, [])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,8 +12,8 @@
 from lupinlink.lab.operations import operate
 from lupinlink.net.lifecycle import (
     DRAIN_IDLE_MS,
-    HANDED_IDLE_MS,
-    QUIET_MS,
+    HANDED_OVER_IDLE_MS,
+    STOP_STAY_MS,
     STOP_IDLE_MS,
     Lifecycle,
     LifecycleState,
@@ -66,7 +66,7 @@
         )
         self.assertEqual(self.of.close_idle_from(), 100.0 + STOP_IDLE_MS)
         self.assertEqual([self.of.must_answer_now(100.0 + t) for t in (3399.0, 3400.0)], [False, True])
-        at = [(QUIET_MS - 1.0, 0), (QUIET_MS, 1), (QUIET_MS, 0), (3600.0, 1)]
+        at = [(STOP_STAY_MS - 1.0, 0), (STOP_STAY_MS, 1), (STOP_STAY_MS, 0), (3600.0, 1)]
         self.assertEqual([self.of.may_exit(100.0 + t, left) for t, left in at], [False, False, True, True])
 
     def test_with_a_successor_nobody_waits_for_newcomers_and_rests_run_out(self) -> None:
@@ -76,7 +76,7 @@
             (self.of.up(1), self.of.keeps_connections(), self.of.may_exit(1.0, 0)), (True, False, False)
         )
         self.of.stop(10.0)
-        self.assertEqual(self.of.close_idle_from(), 10.0 + HANDED_IDLE_MS)
+        self.assertEqual(self.of.close_idle_from(), 10.0 + HANDED_OVER_IDLE_MS)
         self.assertEqual([self.of.may_exit(11.0, left) for left in (1, 0)], [False, True])
         self.of.cancel_handover()
         self.assertFalse(self.of.may_exit(11.0, 0))
