--- a/lupinlink/net/__init__.py
+++ b/lupinlink/net/__init__.py
@@ -1,1 +1,1 @@
-"""Network side of the proxy: turns socket events into events of the decision module, and performs its actions."""
+"""Network side of the proxy: feeds socket events to the decision module and performs its actions."""
--- a/lupinlink/net/components.py
+++ b/lupinlink/net/components.py
@@ -1,4 +1,4 @@
-"""What one process of a proxy is made of, put together."""
+"""Builds the components of one proxy process and connects them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False, repr=False)
 class Components:
-    """From the clock up to clients; each knows only those before it."""
+    """The components, from the clock up to clients; each depends only on those before it."""
 
     reactor: Reactor
     clock: ReactorClock
@@ -33,7 +33,7 @@
 
 
 def build(config: Config, reactor: Reactor, room: Capacity) -> Components:
-    """All parts of a process with that room; nothing listens yet, and nothing is asked."""
+    """Build all components; none of them listens or connects yet."""
     counters, clock, settings = Counters(), ReactorClock(reactor), config.settings
     lifecycle = Lifecycle(max(cls.deadline_ms for cls in settings.classes))
     servers = ApplicationServers(reactor, clock, settings, room.servers, counters)
@@ -51,7 +51,7 @@
 
 
 def _trust_changed(discovery_client: DiscoveryClient, lifecycle: Lifecycle, change: ListTrustChanged) -> None:
-    """Whether requests are sent by the list has changed."""
+    """Log the change, and stop waiting for the list of backends once requests are no longer held for it."""
     discovery_client.log_trust(change)
     if change.trust is not ListTrust.HELD:
         lifecycle.settle_list()
--- a/lupinlink/net/counters.py
+++ b/lupinlink/net/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the proxy takes in, sends and answers."""
+"""Counters of the proxy's requests, attempts, answers and connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Counters(Counter[str]):
-    """One count a name; ``show`` prints them all on one line."""
+    """A count for each name; ``show`` logs all of them on one line."""
 
     def show(self, occasion: str, **gauges: int) -> None:
         log.info("counters", extra={"kv": {"at": occasion, **gauges, **dict(sorted(self.items()))}})
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -1,4 +1,7 @@
-"""The service's side of the seam: carries a fleet's wishes to its parts. Loaded only with a fleet file."""
+"""The service as the fleet extension sees it: implements ``ExtensionHost`` over the process's components.
+
+Loaded only if there is a fleet file.
+"""
 
 from __future__ import annotations
 
@@ -14,128 +17,132 @@
 from lupinlink.net.fleet_extension import FleetExtension, Gauges, Listed, Outcomes
 from lupinlink.net.lifecycle import LifecycleState
 from lupinlink.net.lists import STATES
-from lupinlink.net.management import Call as ManagementCall
-from lupinlink.net.management import WrongAskError
+from lupinlink.net.management import BadCallError, Handler
 from lupinlink.net.terms import Call
 from lupinlink.settings import Config
 
 log = logging.getLogger(__name__)
-REPORT_MS = 10000.0  # so long does a server's report of its use count
-MOST_FIELDS = 32  # of a call's query
-# With a release who wants out asks for a permit first, so the service's own two calls are the fleet's then.
-REPLACEABLE = frozenset({"/control/out-of-service", "/control/in-service"})
-DoorCallTable = dict[str, dict[str, ManagementCall]]
+REPORT_LIFETIME_MS = 10000.0  # how long a backend's reported utilization is used
+MAX_QUERY_FIELDS = 32  # in the query of a management call
+# With releases, a proxy needs a permit before it drains, so the extension handles these calls of the service.
+REPLACEABLE_PATHS = frozenset({"/control/out-of-service", "/control/in-service"})
+RouteTable = dict[str, dict[str, Handler]]
 
 
-class Acts(NamedTuple):
-    """What the service does for a fleet; a call of the door does no other."""
+class ServiceActions(NamedTuple):
+    """Actions of the service that the extension may start; the management API's calls do the same."""
 
     drain: Callable[[], bool]
     in_service: Callable[[], bool]
     end: Callable[[], None]
 
 
-class Reports:
-    """The use that each application server last reported; what is old is forgotten."""
+class UtilizationReports:
+    """The utilization that each backend last reported; old reports expire."""
 
     def __init__(self) -> None:
         self._last: dict[str, tuple[float, float]] = {}
 
-    def heard(self, server: str, report: Mapping[str, float], now: float) -> None:
-        """A report that came with an answer or a probe."""
+    def record(self, server: str, report: Mapping[str, float], now: float) -> None:
+        """Record a load report that came with an answer or a probe."""
         use = report.get("utilization")
         if use is not None:
             self._last[server] = use, now
 
     def use(self, now: float) -> dict[str, float]:
-        """By server, of the last 10 s."""
-        self._last = {name: seen for name, seen in self._last.items() if now - seen[1] <= REPORT_MS}
+        """Utilization by backend, from reports not older than REPORT_LIFETIME_MS."""
+        self._last = {name: seen for name, seen in self._last.items() if now - seen[1] <= REPORT_LIFETIME_MS}
         return {name: use for name, (use, _) in self._last.items()}
 
 
-class Tally:
-    """How attempts ended, by application server."""
+class OutcomeCounts:
+    """Counts how attempts ended, by backend."""
 
     def __init__(self) -> None:
         self._by: dict[str, Outcomes] = {}
 
-    def ended(self, server: str, status: Status) -> None:
-        """One attempt."""
+    def record(self, server: str, status: Status) -> None:
+        """Record the end of one attempt."""
         was = self._by.get(server, Outcomes())
         ok, away, off = status == Status.OK, status in NEVER_RAN, status == Status.CANCELLED
         failed = not (ok or away or off)
         self._by[server] = Outcomes(was[0] + 1, was[1] + ok, was[2] + away, was[3] + failed)
 
     def of(self, listed: Iterable[str]) -> dict[str, Outcomes]:
-        """Of these; the others are forgotten."""
+        """The counts of the listed backends; those of others are dropped."""
         self._by = {name: self._by[name] for name in listed if name in self._by}
         return dict(self._by)
 
 
-def asked(call: DoorCall) -> ManagementCall:
-    """A fleet's call as the door makes it: reads the query; what cannot be read is told in one line."""
+def make_handler(call: DoorCall) -> Handler:
+    """A handler for the management API that parses the query for a call of the extension.
+
+    It raises BadCallError with one line of text for a query that cannot be parsed.
+    """
 
-    def made(query: str, body: bytes) -> tuple[int, str]:
+    def handle(query: str, body: bytes) -> tuple[int, str]:
         try:
             pairs = parse_qsl(
                 query,
                 keep_blank_values=True,
                 strict_parsing=True,
                 errors="strict",
-                max_num_fields=MOST_FIELDS,
+                max_num_fields=MAX_QUERY_FIELDS,
             )
         except ValueError as exc:
-            raise WrongAskError(400, f"query: {exc}") from exc
+            raise BadCallError(400, f"query: {exc}") from exc
         fields = dict(pairs)
         if len(fields) < len(pairs):
-            twice = next(name for i, (name, _) in enumerate(pairs) if name in dict(pairs[:i]))
-            raise WrongAskError(400, f"query: {twice!r} is given twice")
+            duplicate = next(name for i, (name, _) in enumerate(pairs) if name in dict(pairs[:i]))
+            raise BadCallError(400, f"query: {duplicate!r} is given twice")
         answer = call(Ask(fields, body))
         return answer.status, answer.text
 
-    return made
+    return handle
 
 
 class FleetHost:
-    """Host of the seam, over the service's parts."""
+    """Implements ``ExtensionHost`` over the components of the process."""
 
-    def __init__(self, fleet: FleetExtension, config: Config, parts: Components, acts: Acts) -> None:
+    def __init__(
+        self, fleet: FleetExtension, config: Config, components: Components, actions: ServiceActions
+    ) -> None:
         self.name, self.settings = config.name, config.settings
-        self.reactor, self.clock, self._acts = parts.reactor, parts.clock, acts
-        self._fleet, self._lifecycle, self._counters = fleet, parts.lifecycle, parts.counters
+        self.reactor, self.clock, self._actions = components.reactor, components.clock, actions
+        self._fleet, self._lifecycle, self._counters = fleet, components.lifecycle, components.counters
         self._proxy, self._clients, self._discovery_client, self._servers = (
-            parts.proxy, parts.clients, parts.discovery_client, parts.servers,
+            components.proxy, components.clients, components.discovery_client, components.servers,
         )  # fmt: skip
-        self._reports, self._tally = Reports(), Tally()
+        self._reports, self._outcomes = UtilizationReports(), OutcomeCounts()
         self._started = self._stopped = False
         self._proxy.admits = self._admits
         self._proxy.settled = fleet.settled
-        self._proxy.reported, self._proxy.passed = self._reported, self._tally.ended
+        self._proxy.reported, self._proxy.passed = self._reported, self._outcomes.record
 
-    def calls(self, own: DoorCallTable) -> DoorCallTable:
-        """The door's calls: the service's ``own`` and the fleet's."""
-        table = dict(own)
+    def calls(self, own_routes: RouteTable) -> RouteTable:
+        """The routes of the management API: those of the service and those of the extension."""
+        table = dict(own_routes)
         for path, methods in self._fleet.calls().items():
-            if path in own and path not in REPLACEABLE:
+            if path in own_routes and path not in REPLACEABLE_PATHS:
                 raise ValueError(f"{path} is a call of the service itself")
-            table[path] = {method: asked(call) for method, call in methods.items()}
+            table[path] = {method: make_handler(call) for method, call in methods.items()}
         return table
 
     def start(self) -> None:
-        """The reactor runs."""
+        """Start the extension; the reactor runs."""
         self._started = True
         try:
             self._fleet.started(self)
-        except Exception:  # clients are served without it
+        except Exception:  # clients are served without the extension
             log.exception("fleet failed to start")
 
     def stop(self) -> None:
-        """This process ends; a second call does nothing."""
+        """Stop the extension; a second call has no effect."""
         if self._started and not self._stopped:
             self._stopped = True
             try:
                 self._fleet.stopping()
-            except Exception:  # a stop goes on, whatever the fleet's shell makes of it
+            except Exception:  # the process stops even if the extension fails to
                 log.exception("fleet failed to stop")
 
     def _admits(self, call: Call) -> float | None:
@@ -143,7 +150,7 @@
         return refusal.retry_after_ms if refusal is not None else None
 
     def _reported(self, server: str, report: Mapping[str, float]) -> None:
-        self._reports.heard(server, report, self.clock.now())
+        self._reports.record(server, report, self.clock.now())
 
     @property
     def state(self) -> LifecycleState:
@@ -162,29 +169,29 @@
         return self._lifecycle.stopping or self._lifecycle.handed_over
 
     def drain(self) -> None:
-        """As the door's call."""
-        self._acts.drain()
+        """As the call of the management API."""
+        self._actions.drain()
 
     def in_service(self) -> bool:
-        """As the door's call."""
-        return self._acts.in_service()
+        """As the call of the management API."""
+        return self._actions.in_service()
 
     def end(self) -> None:
-        """As SIGTERM."""
-        self._acts.end()
+        """End the process as SIGTERM does."""
+        self._actions.end()
 
     def end_last(self) -> int:
-        """Every request gets its answer; what is at rest is closed."""
+        """Answer every open request now and close idle connections; returns the number of connections."""
         here = len(self._clients.connections)
         self._proxy.end_all()
         self._clients.close_idle(unasked=True)
         return here
 
     def gauges(self) -> Gauges:
-        """What is here now."""
+        """The present state of connections and requests."""
         phases, now = self._clients.phases, self.clock.now()
         counts = {phase: len(clients) for phase, clients in phases.items()}
-        # Each phase is in order of time.
+        # The clients of each phase are ordered by the time they entered it.
         oldest = [next(iter(phases[phase])).since for phase in (Phase.OPEN, Phase.BODY) if counts[phase]]
         long = {**phases[Phase.BODY], **self._clients.receiving, **self._clients.flowing}
         left = [client.to_go() for client in long]
@@ -207,7 +214,7 @@
         )
 
     def servers(self) -> list[Listed]:
-        """The list."""
+        """The backends on the list."""
         found = []
         for item in self._discovery_client.snapshot()["targets"]:
             name, state = str(item["uid"]), STATES.get(item["state"])
@@ -217,17 +224,17 @@
         return found
 
     def use(self) -> Mapping[str, float]:
-        """Reported use by server."""
+        """Recently reported utilization by backend."""
         return self._reports.use(self.clock.now())
 
     def outcomes(self) -> Mapping[str, Outcomes]:
-        """How attempts ended, by server."""
-        return self._tally.of([one.name for one in self.servers()])
+        """How attempts ended, by backend."""
+        return self._outcomes.of([one.name for one in self.servers()])
 
     def busy(self) -> set[str]:
-        """Servers with a request from here."""
+        """Backends with an open request of this process."""
         return self._servers.busy()
 
     def withhold(self, names: frozenset[str]) -> None:
-        """These are out of use, and no others."""
+        """Take these backends, and no others, out of use."""
         self._discovery_client.withhold(names)
--- a/lupinlink/net/handover/__init__.py
+++ b/lupinlink/net/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes that are one proxy for the time of an upgrade."""
+"""Handover from an old process of a proxy to its successor during an upgrade."""
--- a/lupinlink/net/handover/capacity.py
+++ b/lupinlink/net/handover/capacity.py
@@ -1,22 +1,26 @@
-"""How much a process may hold, alone and beside another one of the same proxy. Pure."""
+"""How many connections and how much memory a process may use, alone or next to another one of its proxy.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RESERVE, RESERVE_SHARE = 24, 0.05  # descriptors for all else: listener, watch, log, reactor, closing ones
-# Measured: 21 MB with the program at rest, 24 with 200 connections at work. Bodies on their way have a
-# common budget of their own, so a connection needs no room for the largest one.
+# Descriptors for everything else: listener, watch, log, reactor, connections being closed.
+RESERVE, RESERVE_SHARE = 24, 0.05
+# An idle process takes 21 MB, one with 200 busy connections 24 MB. Bodies in transit share a budget of
+# their own, so a connection is not charged for the largest body.
 BASE_MB, CONNECTION_MB = 25.0, 0.016
-CLIENT_SHARE = 0.55  # of the rest; clients keep idle connections, pools give theirs up
-MIN_CONNECTIONS = 16  # alone; under this nothing can be served
-MIN_BESIDE = 16  # beside another process: so many for the moment until that one has told what it holds
-LEAST_SPARE_MB = 2.0
+CLIENT_SHARE = 0.55  # of the remaining descriptors; clients keep idle connections open, pools close theirs
+MIN_CONNECTIONS = 16  # of a process on its own; with fewer it refuses to start
+MIN_BESIDE = 16  # next to another process, until that one has reported its usage
+MIN_SPARE_MB = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the proxy as a whole is told: descriptors, megabytes, and how many callers its door holds."""
+    """The limits of the whole proxy: descriptors, megabytes, and connections to its management API."""
 
     sockets: int
     memory_mb: float
@@ -25,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What one process holds: descriptors at most, and megabytes resident."""
+    """What one process uses: the most descriptors it may open, and megabytes resident."""
 
     descriptors: int
     memory_mb: float
@@ -33,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Capacity:
-    """What one process may hold: connections of clients and to servers, and megabytes for bodies."""
+    """What one process may use: client and backend connections, and megabytes for bodies."""
 
     clients: int
     servers: int
@@ -41,24 +45,26 @@
 
 
 def reserve(limits: Limits) -> int:
-    """Descriptors for all that is no connection of either side."""
+    """Descriptors for everything but client and backend connections."""
     return max(RESERVE, int(limits.sockets * RESERVE_SHARE)) + (limits.callers + 1 if limits.callers else 0)
 
 
 def capacity_for(limits: Limits, beside: Usage | None = None) -> Capacity:
-    """The room of a process, ``beside`` another that holds so much."""
+    """The capacity of a process, next to another with the usage ``beside``."""
     usable, memory = limits.sockets - reserve(limits), limits.memory_mb - BASE_MB
     if beside is not None:
         usable, memory = usable - beside.descriptors, memory - beside.memory_mb
     usable = min(usable, int(memory / CONNECTION_MB)) if beside is None or memory > 0 else usable
     if beside is not None:
-        usable, memory = max(usable, MIN_BESIDE), max(memory, LEAST_SPARE_MB)
+        usable, memory = max(usable, MIN_BESIDE), max(memory, MIN_SPARE_MB)
     clients = int(usable * CLIENT_SHARE)
     return Capacity(clients, usable - clients, memory)
 
 
 def shrunk(limits: Limits, clients: int, servers: int, open_calls: int, spare_mb: float) -> Capacity:
-    """The room of a process whose successor serves: what it holds, and servers enough for what is open."""
+    """The capacity of a process whose successor serves: its present use, and backend connections enough for
+    its open requests.
+    """
     own = capacity_for(limits)
     least = min(own.servers, open_calls + 2)
     return Capacity(
@@ -67,5 +73,5 @@
 
 
 def usage(limits: Limits, now: Capacity, memory_mb: float) -> Usage:
-    """What a process with that room may come to hold."""
+    """The most that a process with the capacity ``now`` may use; ``memory_mb``: what it has resident."""
     return Usage(now.clients + now.servers + reserve(limits), memory_mb)
--- a/lupinlink/net/handover/channel.py
+++ b/lupinlink/net/handover/channel.py
@@ -1,4 +1,4 @@
-"""The Unix socket between two processes of one proxy: a thin shell without decisions."""
+"""The Unix socket between two processes of one proxy: transport only, ``upgrade`` makes the decisions."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from lupinlink.net.twisted_types import Reactor
 
 log = logging.getLogger(__name__)
-READ_BYTES, MOST_WAITING = 65536, 8
-Say = Callable[["Channel", Mapping[str, Any], int | None], None]
+READ_BYTES, BACKLOG = 65536, 8
+OnMessage = Callable[["Channel", Mapping[str, Any], int | None], None]
 
 
-def place(folder: str, listen: tuple[str, int]) -> Path:
-    """Where the process that listens there is met; one name for each address."""
+def socket_path(folder: str, listen: tuple[str, int]) -> Path:
+    """The path of the socket for handovers of the process that listens at ``listen``."""
     host, port = listen
     return Path(folder) / f"lupinlink-{host}-{port}.sock"
 
 
-class _Short:
-    """A path that fits a Unix address, however deep its folder lies: through a descriptor of the folder."""
+class _ShortPath:
+    """A short alias of a path, by a descriptor of its folder, since Unix socket addresses are short."""
 
     def __init__(self, path: Path) -> None:
         self._folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
@@ -45,24 +45,24 @@
 
 
 def same_user(connection: socket.socket) -> bool:
-    """Whether the other end runs as this user: nobody else may hand us a listener or take ours."""
+    """Whether the peer runs as this user: no other user may hand us a listener or take ours."""
     raw = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
     return int(struct.unpack("3i", raw)[1]) == os.geteuid()
 
 
 @implementer(IReadWriteDescriptor)
 class Channel:
-    """One connection between the two; ``heard`` gets each message, ``ended`` the end, once."""
+    """One connection between the two; calls ``on_message`` for each message and ``on_end`` once."""
 
     def __init__(
-        self, reactor: Reactor, connection: socket.socket, heard: Say, ended: Callable[[], None]
+        self, reactor: Reactor, connection: socket.socket, on_message: OnMessage, on_end: Callable[[], None]
     ) -> None:
         connection.setblocking(False)
         self._reactor, self._socket = reactor, connection
-        self._heard, self._ended = heard, ended
+        self._on_message, self._on_end = on_message, on_end
         self._reader = Reader()
         self._unsent = bytearray()
-        self._handed: int | None = None  # a descriptor that goes with the next bytes
+        self._descriptor: int | None = None  # sent with the next bytes
         self.open = True
         reactor.addReader(self)
 
@@ -72,20 +72,20 @@
     def logPrefix(self) -> str:  # noqa: N802
         return "handover"
 
-    def say(self, say: str, handed: int | None = None, **more: Any) -> None:
-        """Send a message, with a descriptor beside it."""
+    def send(self, kind: str, descriptor: int | None = None, **more: Any) -> None:
+        """Send a message, and pass a descriptor along."""
         if self.open:
-            self._unsent += line(say, **more)
-            self._handed = handed if handed is not None else self._handed
+            self._unsent += line(kind, **more)
+            self._descriptor = descriptor if descriptor is not None else self._descriptor
             self.doWrite()
 
     def doRead(self) -> None:  # noqa: N802
         try:
-            data, handed, _, _ = socket.recv_fds(self._socket, READ_BYTES, 1)
+            data, descriptors, _, _ = socket.recv_fds(self._socket, READ_BYTES, 1)
         except BlockingIOError:
             return
         except OSError:
-            data, handed = b"", []
+            data, descriptors = b"", []
         if not data:
             self.end()
             return
@@ -96,17 +96,17 @@
             messages = []
             self.end()
         for message in messages:
-            self._heard(self, message, handed.pop() if handed else None)
-        for number in handed:
+            self._on_message(self, message, descriptors.pop() if descriptors else None)
+        for number in descriptors:
             os.close(number)
 
     def doWrite(self) -> None:  # noqa: N802
         try:
             while self._unsent:
                 piece = bytes(self._unsent[:READ_BYTES])
-                if self._handed is not None:
-                    sent = socket.send_fds(self._socket, [piece], [self._handed])
-                    self._handed = None
+                if self._descriptor is not None:
+                    sent = socket.send_fds(self._socket, [piece], [self._descriptor])
+                    self._descriptor = None
                 else:
                     sent = self._socket.send(piece)
                 del self._unsent[:sent]
@@ -120,26 +120,26 @@
         self.end()
 
     def end(self) -> None:
-        """Close; the one who holds this channel is told."""
+        """Close the channel and call ``on_end``."""
         if self.open:
             self.open = False
             self._reactor.removeReader(self)
             self._reactor.removeWriter(self)
             self._socket.close()
-            self._ended()
+            self._on_end()
 
 
-def call(path: Path) -> socket.socket | None:
-    """Connect to the process that serves there, or None: nobody is, or it is none of ours."""
+def connect(path: Path) -> socket.socket | None:
+    """Connect to the process that listens at the path; None if there is none or it is another user's."""
     try:
-        found = path.lstat()
+        status = path.lstat()
     except OSError:
         return None
-    if not stat.S_ISSOCK(found.st_mode) or found.st_uid != os.geteuid():
+    if not stat.S_ISSOCK(status.st_mode) or status.st_uid != os.geteuid():
         log.warning("handover not possible", extra={"kv": {"path": path, "why": "a foreign file"}})
         return None
     try:
-        # A platform may refuse Unix sockets altogether: then there is simply nobody to take over from.
+        # A platform may refuse Unix sockets altogether: then no handover is possible.
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     except OSError as exc:
         why = errno.errorcode.get(exc.errno or 0, str(exc))
@@ -147,13 +147,13 @@
         return None
     try:
         connection.setblocking(False)
-        with _Short(path) as short:
+        with _ShortPath(path) as short:
             connection.connect(short)
         if same_user(connection):
             return connection
-        why = "another user's"
+        why = "the peer runs as another user"
     except OSError as exc:
-        # A stale socket of a process that has gone is the usual case after a kill.
+        # The usual case after a kill is the stale socket of a process that has ended.
         why = errno.errorcode.get(exc.errno or 0, str(exc))
     connection.close()
     log.info("nobody to take over from", extra={"kv": {"why": why}})
@@ -161,43 +161,43 @@
 
 
 @implementer(IReadWriteDescriptor)
-class Doorstep:
-    """Where a successor calls; its name is taken by renaming, so that whatever lay there is no hindrance."""
+class SuccessorListener:
+    """Listens for successors. Takes its path by renaming, which replaces a stale socket or other file."""
 
-    def __init__(self, reactor: Reactor, path: Path, called: Callable[[socket.socket], None]) -> None:
-        self._reactor, self._path, self._called = reactor, path, called
+    def __init__(self, reactor: Reactor, path: Path, on_connect: Callable[[socket.socket], None]) -> None:
+        self._reactor, self._path, self._on_connect = reactor, path, on_connect
         self._socket: socket.socket | None = None
 
     def open(self) -> None:
-        """Take the name, or take it back."""
+        """Listen at the path, replacing what is there."""
         self.close()
         try:
-            # A platform may refuse Unix sockets: then serve without handover.
+            # A platform may refuse Unix sockets: then this process serves without handover.
             listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError as exc:
             log.warning("no handover from here", extra={"kv": {"path": self._path, "why": exc}})
             return
-        fresh = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
             with suppress(FileNotFoundError):
-                fresh.unlink()
-            with _Short(fresh) as short:
+                temporary.unlink()
+            with _ShortPath(temporary) as short:
                 listener.bind(short)
-            fresh.chmod(0o600)
-            listener.listen(MOST_WAITING)
+            temporary.chmod(0o600)
+            listener.listen(BACKLOG)
             listener.setblocking(False)
-            fresh.rename(self._path)
+            temporary.rename(self._path)
         except OSError as exc:
             log.warning("no handover from here", extra={"kv": {"path": self._path, "why": exc}})
             listener.close()
             with suppress(OSError):
-                fresh.unlink()
+                temporary.unlink()
             return
         self._socket = listener
         self._reactor.addReader(self)
 
     def close(self) -> None:
-        """Listen no longer. The name stays: it may be the successor's by now; a stale one harms nobody."""
+        """Stop listening. The path stays: it may be the successor's by now, and a stale one is harmless."""
         if self._socket is not None:
             self._reactor.removeReader(self)
             self._socket.close()
@@ -217,13 +217,13 @@
         except OSError:
             return
         if same_user(connection):
-            self._called(connection)
+            self._on_connect(connection)
         else:
-            log.warning("a foreign caller", extra={"kv": {"path": self._path}})
+            log.warning("handover request from another user refused", extra={"kv": {"path": self._path}})
             connection.close()
 
     def doWrite(self) -> None:  # noqa: N802
-        raise AssertionError("nothing is written here")
+        raise AssertionError("a listener is never written to")
 
     def connectionLost(self, reason: object) -> None:
         self.close()
--- a/lupinlink/net/handover/messages.py
+++ b/lupinlink/net/handover/messages.py
@@ -1,9 +1,9 @@
-"""What two processes of one proxy say to each other: a JSON object a line. Pure.
+"""The messages between two processes of one proxy, one JSON object per line. Performs no I/O.
 
-The new one says ``hello``. The old one answers ``offer``, with the listening socket beside it, or ``wait``
-while it is still in an upgrade itself, or ``no``. The new one says ``ready`` once it serves; from then the
-old one tells what it ``holds``, and passes on a ``drain`` or ``undrain`` it is told. Either side's end is
-told by the end of the channel.
+The new process sends ``hello``. The old one replies with ``offer`` and passes the listening socket along, or
+with ``wait`` while it is itself in an upgrade, or with ``no``. The new one sends ``ready`` once it serves;
+from then on the old one reports its usage (``holds``) and passes on an operator's ``drain`` or ``undrain``.
+When a process ends, the other notices by the end of the channel.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 from typing import Any
 
 VERSION = 1
-MOST_BYTES = 4 * 1024 * 1024  # of one line; discovery's list is the largest
-SAYINGS = {"hello", "offer", "wait", "no", "ready", "holds", "drain", "undrain"}
+MAX_LINE_BYTES = 4 * 1024 * 1024  # the largest message carries the list from discovery
+MESSAGE_KINDS = {"hello", "offer", "wait", "no", "ready", "holds", "drain", "undrain"}
 
 
 class HandoverError(ValueError):
-    """What came is no message of this channel."""
+    """The bytes received are not a message of this protocol."""
 
 
-def line(say: str, **more: Any) -> bytes:
-    """One message as it goes out."""
-    assert say in SAYINGS, say
-    return json.dumps({"say": say, **more}, separators=(",", ":")).encode() + b"\n"
+def line(kind: str, **more: Any) -> bytes:
+    """Encode one message."""
+    assert kind in MESSAGE_KINDS, kind
+    return json.dumps({"say": kind, **more}, separators=(",", ":")).encode() + b"\n"
 
 
 class Reader:
-    """Bytes in, messages out; what cannot be read raises HandoverError."""
+    """Decodes messages from a stream of bytes; raises HandoverError on invalid input."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Mapping[str, Any]]:
-        """The messages that are whole now."""
+        """The messages that ``data`` completes."""
         self._buffer += data
         *lines, rest = self._buffer.split(b"\n")
-        if max(len(rest), *map(len, lines), 0) > MOST_BYTES:
-            raise HandoverError("message too long")
+        if max(len(rest), *map(len, lines), 0) > MAX_LINE_BYTES:
+            raise HandoverError(f"message of more than {MAX_LINE_BYTES} bytes")
         self._buffer = rest
         return [self._read(bytes(text)) for text in lines]
 
@@ -47,16 +47,16 @@
         try:
             message = json.loads(text)
         except (ValueError, RecursionError) as exc:
-            raise HandoverError(f"no message: {text[:40]!r}") from exc
-        if not isinstance(message, dict) or message.get("say") not in SAYINGS:
-            raise HandoverError(f"no message: {text[:40]!r}")
+            raise HandoverError(f"not a handover message: {text[:40]!r}") from exc
+        if not isinstance(message, dict) or message.get("say") not in MESSAGE_KINDS:
+            raise HandoverError(f"not a handover message: {text[:40]!r}")
         return message
 
 
 def refusal(hello: Mapping[str, Any], name: str) -> str:
-    """Why a process that says hello is no successor here; empty: it is one."""
+    """Why the sender of ``hello`` is not accepted as a successor; empty if it is."""
     if hello.get("v") != VERSION:
-        return f"speaks version {hello.get('v')}, here it is {VERSION}"
+        return f"protocol version is {hello.get('v')}, expected {VERSION}"
     if hello.get("name") != name:
-        return f"is {hello.get('name')!r}, here it is {name!r}"
+        return f"proxy name is {hello.get('name')!r}, expected {name!r}"
     return ""
--- a/lupinlink/net/handover/upgrade.py
+++ b/lupinlink/net/handover/upgrade.py
@@ -1,6 +1,7 @@
-"""An upgrade as each of the two processes sees it: who is told what, and who holds what. Pure.
+"""State machine of an upgrade, for the old process (predecessor) and the new one (successor).
 
-A process may be the new one (``begin``), the old one (``called``), or, in two upgrades in a row, both.
+A process may be the successor (``request_handover``), the predecessor (it gets ``hello``) or, in two upgrades
+in a row, both. It performs no I/O of its own; the caller passes the current time, in milliseconds.
 """
 
 from __future__ import annotations
@@ -14,163 +15,167 @@
 from lupinlink.net.handover.messages import VERSION, refusal
 
 log = logging.getLogger(__name__)
-ANSWER_MS = 1000.0  # so long the old one may take to answer; its turns are tens of milliseconds
-WAIT_MS = 12000.0  # so long an upgrade before this one may take to end
+ANSWER_TIMEOUT_MS = 1000.0  # for the first answer; one event loop iteration takes tens of milliseconds
+WAIT_TIMEOUT_MS = 12000.0  # for an earlier upgrade to end
 
 
-class Link(Protocol):
-    """The channel to the other process."""
+class PeerChannel(Protocol):
+    """The channel to the other process; as ``handover.channel.Channel``."""
 
-    def say(self, say: str, handed: int | None = None, **more: Any) -> None: ...
+    def send(self, kind: str, descriptor: int | None = None, **more: Any) -> None: ...
     def end(self) -> None: ...
 
 
-class House(Protocol):
+class UpgradeHost(Protocol):
     """What the service does for an upgrade."""
 
-    def offered(self) -> tuple[int, dict[str, Any]]:
-        """The listening socket, and what a successor starts from."""
+    def make_offer(self) -> tuple[int, dict[str, Any]]:
+        """The listening socket's descriptor, and the fields of the offer."""
 
-    def move_in(self, handed: int | None, offer: Mapping[str, Any]) -> None:
-        """Listen: on the socket that was handed over, or on one of our own."""
+    def start_listening(self, descriptor: int | None, offer: Mapping[str, Any]) -> None:
+        """Listen on the descriptor that was handed over, or open a socket if it is None."""
 
-    def handed_over(self) -> None:
-        """A successor serves: accept nothing more, and see off who is here."""
+    def on_successor_serving(self) -> None:
+        """A successor serves: accept no more connections, and drain those that are open."""
 
-    def taken_back(self) -> None:
-        """The successor has gone: serve as before."""
+    def on_successor_ended(self) -> None:
+        """The successor has ended: serve as before."""
 
-    def beside(self, other: Usage | None) -> None:
-        """What the old process holds; None: it has gone."""
+    def on_predecessor_usage(self, other: Usage | None) -> None:
+        """The predecessor's usage; None: it has ended."""
 
-    def holds(self) -> Usage:
-        """What this process may come to hold."""
+    def current_usage(self) -> Usage:
+        """The most that this process may use."""
 
-    def told(self, drain: bool) -> None:
-        """An operator's call reached the old process."""
+    def on_drain_changed(self, drain: bool) -> None:
+        """An operator's call to drain, or to serve again, reached the predecessor."""
 
 
 class Upgrade:
-    """Both sides of it; times are milliseconds of the caller's clock."""
-
-    def __init__(self, house: House, name: str) -> None:
-        self._house, self._name = house, name
-        self._old: Link | None = None
-        self._until = 0.0  # when the old one's answer is no longer waited for
-        self._moved_in = False
-        self._new: Link | None = None  # who was offered our place
-        self._superseded = False
-        self._waiting: list[Link] = []
-        self._told: Usage | None = None
-        self._left = False
+    """Both sides of an upgrade."""
+
+    def __init__(self, host: UpgradeHost, name: str) -> None:
+        self._host, self._name = host, name
+        self._predecessor: PeerChannel | None = None
+        self._answer_deadline = 0.0  # for the predecessor's answer; 0: none is awaited
+        self._listening = False
+        self._successor: PeerChannel | None = None  # the process that was offered the listener
+        self._successor_serves = False
+        self._queued: list[PeerChannel] = []
+        self._usage_sent: Usage | None = None
+        self._stopped = False
 
     @property
     def busy(self) -> bool:
-        """Whether another process is there."""
-        return self._old is not None or self._new is not None
-
-    def begin(self, old: Link, now: float) -> None:
-        """Somebody serves at our address: ask for the place."""
-        self._old, self._until = old, now + ANSWER_MS
-        old.say("hello", v=VERSION, name=self._name, pid=os.getpid())
-
-    def serving(self) -> None:
-        """This process serves from here on."""
-        self._moved_in = True
-        if self._old is not None:
-            self._old.say("ready")
-
-    def heard(self, link: Link, message: Mapping[str, Any], handed: int | None, now: float) -> None:
-        """A message; one that does not fit is passed over, and a descriptor that came with it closed."""
-        say = message["say"]
-        if link is self._old and say == "offer" and not self._moved_in and self._until:
-            self._until = 0.0
-            self._house.move_in(handed, message)
+        """Whether another process takes part in an upgrade."""
+        return self._predecessor is not None or self._successor is not None
+
+    def request_handover(self, predecessor: PeerChannel, now: float) -> None:
+        """Ask the process that serves at our address for its listener."""
+        self._predecessor, self._answer_deadline = predecessor, now + ANSWER_TIMEOUT_MS
+        predecessor.send("hello", v=VERSION, name=self._name, pid=os.getpid())
+
+    def on_serving(self) -> None:
+        """This process serves from now on."""
+        self._listening = True
+        if self._predecessor is not None:
+            self._predecessor.send("ready")
+
+    def on_message(
+        self, channel: PeerChannel, message: Mapping[str, Any], descriptor: int | None, now: float
+    ) -> None:
+        """Handle a message; an unexpected one is ignored, and a descriptor that came with it closed."""
+        kind = message["say"]
+        if channel is self._predecessor and kind == "offer" and not self._listening and self._answer_deadline:
+            self._answer_deadline = 0.0
+            self._host.start_listening(descriptor, message)
             return
-        if handed is not None:
-            os.close(handed)
-        if link is self._old:
-            self._from_old(say, message, now)
-        elif say == "hello":
-            self._greet(link, message)
-        elif say == "ready" and link is self._new and not self._superseded:
-            self._superseded, self._told = True, None
+        if descriptor is not None:
+            os.close(descriptor)
+        if channel is self._predecessor:
+            self._on_predecessor_message(kind, message, now)
+        elif kind == "hello":
+            self._on_hello(channel, message)
+        elif kind == "ready" and channel is self._successor and not self._successor_serves:
+            self._successor_serves, self._usage_sent = True, None
             log.info("handed over")
-            self._house.handed_over()
+            self._host.on_successor_serving()
             self.tick(now)
 
-    def _from_old(self, say: str, message: Mapping[str, Any], now: float) -> None:
-        if say == "wait" and self._until:
-            self._until = now + WAIT_MS
-        elif say == "no":
+    def _on_predecessor_message(self, kind: str, message: Mapping[str, Any], now: float) -> None:
+        if kind == "wait" and self._answer_deadline:
+            self._answer_deadline = now + WAIT_TIMEOUT_MS
+        elif kind == "no":
             log.warning("no handover", extra={"kv": {"why": str(message.get("why"))}})
-            self._alone()
-        elif say == "holds":
+            self._continue_alone()
+        elif kind == "holds":
             descriptors, memory = message.get("descriptors"), message.get("memory_mb")
             if isinstance(descriptors, int) and isinstance(memory, int | float):
-                self._house.beside(Usage(descriptors, float(memory)))
-        elif say in ("drain", "undrain"):
-            self._house.told(say == "drain")
+                self._host.on_predecessor_usage(Usage(descriptors, float(memory)))
+        elif kind in ("drain", "undrain"):
+            self._host.on_drain_changed(kind == "drain")
 
-    def _greet(self, link: Link, message: Mapping[str, Any]) -> None:
+    def _on_hello(self, channel: PeerChannel, message: Mapping[str, Any]) -> None:
         why = refusal(message, self._name)
         if why:
-            link.say("no", why=why)
+            channel.send("no", why=why)
         elif self.busy:
-            self._waiting.append(link)
-            link.say("wait")
+            self._queued.append(channel)
+            channel.send("wait")
         else:
-            self._offer(link)
+            self._send_offer(channel)
 
-    def _offer(self, link: Link) -> None:
-        self._new = link
-        handed, offer = self._house.offered()
-        link.say("offer", handed, **offer)
-        log.info("place offered")
+    def _send_offer(self, channel: PeerChannel) -> None:
+        self._successor = channel
+        descriptor, offer = self._host.make_offer()
+        channel.send("offer", descriptor, **offer)
+        log.info("listener offered to successor")
 
-    def leave(self) -> None:
-        """This process ends: whatever ends from here on is none of its business."""
-        self._left = True
+    def stop(self) -> None:
+        """This process exits: ignore the end of channels from now on."""
+        self._stopped = True
 
-    def ended(self, link: Link) -> None:
-        """A channel has ended, and with it the process behind it."""
-        if self._left:
+    def on_channel_end(self, channel: PeerChannel) -> None:
+        """A channel, and so the process at its other end, has ended."""
+        if self._stopped:
             return
-        if link in self._waiting:
-            self._waiting.remove(link)
-        if link is self._old:
-            self._alone()
-        elif link is self._new:
-            self._new = None
-            superseded, self._superseded = self._superseded, False
-            log.warning("successor gone", extra={"kv": {"was_ready": superseded}})
-            if superseded:
-                self._house.taken_back()
-        if self._waiting and not self.busy:
-            self._offer(self._waiting.pop(0))
-
-    def _alone(self) -> None:
-        """No old process, or none that hands over."""
-        old, self._old, waited = self._old, None, self._until
-        self._until = 0.0
-        if old is not None:
-            old.end()
+        if channel in self._queued:
+            self._queued.remove(channel)
+        if channel is self._predecessor:
+            self._continue_alone()
+        elif channel is self._successor:
+            self._successor = None
+            was_serving, self._successor_serves = self._successor_serves, False
+            log.warning("successor gone", extra={"kv": {"was_ready": was_serving}})
+            if was_serving:
+                self._host.on_successor_ended()
+        if self._queued and not self.busy:
+            self._send_offer(self._queued.pop(0))
+
+    def _continue_alone(self) -> None:
+        """The predecessor has ended or does not hand over: go on without it."""
+        predecessor, self._predecessor, waited = self._predecessor, None, self._answer_deadline
+        self._answer_deadline = 0.0
+        if predecessor is not None:
+            predecessor.end()
         if waited:
-            self._house.move_in(None, {})
-        self._house.beside(None)
+            self._host.start_listening(None, {})
+        self._host.on_predecessor_usage(None)
 
     def pass_on(self, drain: bool) -> None:
-        """An operator called here, where nobody arrives any more."""
-        if self._superseded and self._new is not None:
-            self._new.say("drain" if drain else "undrain")
+        """Pass an operator's call on to the successor, since new clients connect to it."""
+        if self._successor_serves and self._successor is not None:
+            self._successor.send("drain" if drain else "undrain")
 
     def tick(self, now: float) -> None:
-        """To be called some ten times a second while ``busy``."""
-        if self._until and now >= self._until:
+        """To be called about ten times a second while ``busy``."""
+        if self._answer_deadline and now >= self._answer_deadline:
             log.warning("no handover", extra={"kv": {"why": "no answer in time"}})
-            self._alone()
-        if self._superseded and self._new is not None:
-            holds = self._house.holds()
-            if holds != self._told:
-                self._told = holds
-                self._new.say("holds", descriptors=holds.descriptors, memory_mb=round(holds.memory_mb, 1))
+            self._continue_alone()
+        if self._successor_serves and self._successor is not None:
+            usage = self._host.current_usage()
+            if usage != self._usage_sent:
+                self._usage_sent = usage
+                self._successor.send(
+                    "holds", descriptors=usage.descriptors, memory_mb=round(usage.memory_mb, 1)
+                )
--- a/lupinlink/net/lifecycle.py
+++ b/lupinlink/net/lifecycle.py
@@ -93,7 +93,7 @@
 
     @property
     def list_settled(self) -> bool:
-        """Whether the list of backends is trusted for sending requests, or the wait for that has timed out."""
+        """Whether the list of backends is trusted for sending requests, or the wait for it timed out."""
         return self._list_settled
 
     def settle_list(self) -> None:
--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -1,4 +1,4 @@
-"""The address where a proxy serves: how a process moves in, beside which other, and to whom it hands over."""
+"""Takeover of the listening socket: from the process that serves at our address, and by a successor."""
 
 from __future__ import annotations
 
@@ -15,108 +15,114 @@
 from lupinlink.net.components import Components
 from lupinlink.net.discovery_client import ListError
 from lupinlink.net.handover.capacity import Capacity, Limits, Usage, capacity_for, shrunk, usage
-from lupinlink.net.handover.channel import Channel, Doorstep, call, place
+from lupinlink.net.handover.channel import Channel, SuccessorListener, connect, socket_path
 from lupinlink.net.handover.upgrade import Upgrade
 from lupinlink.net.process import resident_mb
 from lupinlink.net.twisted_types import Port
 from lupinlink.settings import Config, SettingsError
 
 log = logging.getLogger("lupinlink.net.service")
-UPGRADE_MS = 100.0  # how often an upgrade's state is looked at
+TICK_MS = 100.0  # how often the state of an upgrade is checked
 
 
 class ListenerTakeover:
-    """House of an upgrade: what it asks of this process."""
+    """Carries out an upgrade in this process; implements ``handover.upgrade.UpgradeHost``."""
 
     def __init__(
         self,
         config: Config,
         limits: Limits,
-        now: Capacity,
+        capacity: Capacity,
         parts: Components,
-        told: Callable[[bool], None],
-        see_off: Callable[[], None],
+        set_drained: Callable[[bool], None],
+        drain_clients: Callable[[], None],
     ) -> None:
-        """``told``: drain (True) or serve again; ``see_off``: clients are to go from now on."""
-        self._config, self._limits, self.capacity = config, limits, now
-        self._told, self._see_off = told, see_off
+        """``set_drained``: drain (True) or serve again; ``drain_clients``: start closing connections."""
+        self._config, self._limits, self.capacity = config, limits, capacity
+        self._set_drained, self._drain_clients = set_drained, drain_clients
         self._reactor, self._clock, self._lifecycle = parts.reactor, parts.clock, parts.lifecycle
         self._servers, self._discovery_client, self._proxy, self._clients = (
             parts.servers, parts.discovery_client, parts.proxy, parts.clients,
         )  # fmt: skip
         self._upgrade = Upgrade(self, config.name)
-        self._looking = False
-        self._doorstep: Doorstep | None = None
-        self.fault: SettingsError | None = None  # why it cannot serve here
-
-    def enter(self) -> None:
-        """Take the place over from who serves there, or move in at once."""
-        old = self._find_old()
-        if old is None:
-            self.move_in(None, {})
+        self._tick_scheduled = False
+        self._successor_listener: SuccessorListener | None = None
+        self.error: SettingsError | None = None  # why this process cannot listen
+
+    def start(self) -> None:
+        """Ask the process that serves at our address to hand over, or listen at once if there is none."""
+        predecessor = self._connect_to_predecessor()
+        if predecessor is None:
+            self.start_listening(None, {})
         else:
-            channel = Channel(self._reactor, old, self._heard, lambda: self._upgrade.ended(channel))
-            self._upgrade.begin(channel, self._clock.now())
-            self._look_after()
-
-    def leave(self) -> None:
-        """This process ends."""
-        self._upgrade.leave()
-        if self._doorstep is not None:
-            self._doorstep.close()
+            channel = Channel(
+                self._reactor, predecessor, self._on_message, lambda: self._upgrade.on_channel_end(channel)
+            )
+            self._upgrade.request_handover(channel, self._clock.now())
+            self._schedule_tick()
+
+    def stop(self) -> None:
+        """This process exits."""
+        self._upgrade.stop()
+        if self._successor_listener is not None:
+            self._successor_listener.close()
 
     def pass_on(self, drain: bool) -> None:
-        """An operator called here; with a successor, nobody arrives here any more."""
+        """Pass an operator's call on to the successor, if one serves: it gets the new clients."""
         self._upgrade.pass_on(drain)
 
-    def _find_old(self) -> socket.socket | None:
-        """The channel to a process that serves at our address, if one does."""
+    def _connect_to_predecessor(self) -> socket.socket | None:
+        """A connection to the process that serves at our address, if there is one."""
         if not self._config.folder or not self._config.listen[1]:
             return None
-        path = place(self._config.folder, self._config.listen)
-        self._doorstep = Doorstep(self._reactor, path, self._called)
-        return call(path)
-
-    def _called(self, connection: socket.socket) -> None:
-        channel = Channel(self._reactor, connection, self._heard, lambda: self._upgrade.ended(channel))
-
-    def _heard(self, channel: Channel, message: Mapping[str, Any], handed: int | None) -> None:
-        self._upgrade.heard(channel, message, handed, self._clock.now())
-        self._look_after()
-
-    def _look_after(self) -> None:
-        """While another process is there, look after the upgrade."""
-        if not self._looking and self._upgrade.busy:
-            self._looking = True
-            self._clock.after(UPGRADE_MS, self._looked)
-
-    def _looked(self) -> None:
-        self._looking = False
+        path = socket_path(self._config.folder, self._config.listen)
+        self._successor_listener = SuccessorListener(self._reactor, path, self._on_successor_connected)
+        return connect(path)
+
+    def _on_successor_connected(self, connection: socket.socket) -> None:
+        channel = Channel(
+            self._reactor, connection, self._on_message, lambda: self._upgrade.on_channel_end(channel)
+        )
+
+    def _on_message(self, channel: Channel, message: Mapping[str, Any], descriptor: int | None) -> None:
+        self._upgrade.on_message(channel, message, descriptor, self._clock.now())
+        self._schedule_tick()
+
+    def _schedule_tick(self) -> None:
+        """Check the upgrade regularly while another process takes part in it."""
+        if not self._tick_scheduled and self._upgrade.busy:
+            self._tick_scheduled = True
+            self._clock.after(TICK_MS, self._tick)
+
+    def _tick(self) -> None:
+        self._tick_scheduled = False
         self._upgrade.tick(self._clock.now())
-        self._look_after()
+        self._schedule_tick()
 
-    def offered(self) -> tuple[int, dict[str, Any]]:
-        """For a successor: our listening socket, discovery's list and whether we are drained."""
+    def make_offer(self) -> tuple[int, dict[str, Any]]:
+        """For a successor: our listening socket, the list from discovery, and whether we are drained."""
         assert self._clients.port is not None
         return self._clients.port.fileno(), {
             "known": self._discovery_client.snapshot(),
             "drained": self._lifecycle.drained,
         }
 
-    def move_in(self, handed: int | None, offer: Mapping[str, Any]) -> None:
-        """Listen, on what was handed over or on a socket of our own, and serve once there are servers."""
+    def start_listening(self, descriptor: int | None, offer: Mapping[str, Any]) -> None:
+        """Listen on the descriptor or on a socket of our own, and serve once there are ready backends."""
         host, port = self._config.listen
         listening: Listener | None = None
-        if handed is not None:
+        if descriptor is not None:
             try:
-                with socket.socket(fileno=handed) as theirs:
-                    listens = theirs.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-                    if listens and theirs.getsockname()[1] == port:
-                        listening = Listener.on(theirs, self._clients, self._reactor)
+                with socket.socket(fileno=descriptor) as inherited:
+                    listens = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+                    if listens and inherited.getsockname()[1] == port:
+                        listening = Listener.on(inherited, self._clients, self._reactor)
             except OSError:
-                os.close(handed)  # no socket at all
+                os.close(descriptor)  # not a socket
             if listening is None:
-                log.warning("what was handed over does not listen here")
+                log.warning(
+                    "descriptor from the old process does not listen at our address; opening a socket"
+                )
         if listening is None:
             listening = Listener(port, self._clients, BACKLOG, host, self._reactor)  # type: ignore[arg-type]
             if self._config.folder:
@@ -124,83 +130,83 @@
         try:
             listening.startListening()
         except CannotListenError as exc:
-            self.fault = SettingsError(f"listen: {host}:{port}: {exc.socketError}")
+            self.error = SettingsError(f"listen: {host}:{port}: {exc.socketError}")
             if self._reactor.running:
                 self._reactor.stop()
             return
         self._clients.port = cast(Port, listening)
         if self._upgrade.busy:
-            # A predecessor serves at this address, so no front held requests for it: what queues is new.
+            # While the predecessor served, no front held requests back, so connections that queue are new.
             self._clients.queue.left(self._clock.now())
-        self._clients.listen()  # not before this process serves
+        self._clients.listen()  # accepts only once this process serves
         if offer.get("drained"):
-            self._told(True)
+            self._set_drained(True)
         known = offer.get("known")
         if isinstance(known, dict):
             try:
                 self._discovery_client.start(known)
             except ListError as exc:
-                log.warning("list of the old process not used", extra={"kv": {"why": exc}})
+                log.warning("list from the old process not used", extra={"kv": {"why": exc}})
         if self._upgrade.busy:
-            self._beside_old()
-        self._serve()
+            self._assume_full_predecessor()
+        self._serve_when_ready()
 
-    def _beside_old(self) -> None:
-        """Until the old process tells what it holds, next to nothing is left."""
-        self.beside(usage(self._limits, capacity_for(self._limits), self._limits.memory_mb))
+    def _assume_full_predecessor(self) -> None:
+        """Until the old process reports its usage, assume that it uses up the limits."""
+        self.on_predecessor_usage(usage(self._limits, capacity_for(self._limits), self._limits.memory_mb))
 
-    def _serve(self) -> None:
-        """Take clients; beside an old process only once a request could be served."""
+    def _serve_when_ready(self) -> None:
+        """Accept clients; while an old process serves, wait until requests could be served here."""
         if self._upgrade.busy and not (self._discovery_client.ready and self._lifecycle.list_settled):
-            self._clock.after(UPGRADE_MS, self._serve)
+            self._clock.after(TICK_MS, self._serve_when_ready)
             return
         if self._lifecycle.serving:
             return
         if self._reactor.running:
-            self._in_place()
+            self._start_serving()
         else:
-            self._reactor.callWhenRunning(self._in_place)
+            self._reactor.callWhenRunning(self._start_serving)
 
-    def _in_place(self) -> None:
+    def _start_serving(self) -> None:
         assert self._clients.port is not None
         self._lifecycle.serve()
         self._clients.listen()
-        self._upgrade.serving()
-        if self._doorstep is not None:
-            self._doorstep.open()
+        self._upgrade.on_serving()
+        if self._successor_listener is not None:
+            self._successor_listener.open()
         where = self._clients.port.getHost()
         log.info("serving", extra={"kv": {"host": where.host, "port": where.port}})
 
-    def handed_over(self) -> None:
-        """A successor serves: what is here ends with its answers, and no more comes."""
+    def on_successor_serving(self) -> None:
+        """A successor serves: finish the open requests and accept no new connections."""
         self._lifecycle.hand_over(self._clock.now())
         self._clients.listen()
-        self._see_off()
+        self._drain_clients()
 
-    def taken_back(self) -> None:
-        """The successor has gone before us."""
+    def on_successor_ended(self) -> None:
+        """The successor has ended while this process is still here: serve with the full limits again."""
         self._lifecycle.cancel_handover()
         self._resize(capacity_for(self._limits))
         self._clients.listen()
-        if self._doorstep is not None:
-            self._doorstep.open()
+        if self._successor_listener is not None:
+            self._successor_listener.open()
 
-    def beside(self, other: Usage | None) -> None:
-        """The rest of the proxy's limits is ours."""
+    def on_predecessor_usage(self, other: Usage | None) -> None:
+        """Use the part of the proxy's limits that the old process leaves."""
         if not self._lifecycle.handed_over:
             self._resize(capacity_for(self._limits, other))
 
-    def holds(self) -> Usage:
-        """What this process holds, and no more than that from here on."""
+    def current_usage(self) -> Usage:
+        """What this process uses; from now on it is limited to that."""
         counts = len(self._clients.connections), len(self._servers.connections), self._proxy.open
         self._resize(shrunk(self._limits, *counts, self.capacity.spare_mb))
         return usage(self._limits, self.capacity, resident_mb())
 
-    def told(self, drain: bool) -> None:
-        """A call that reached the old process."""
-        self._told(drain)
+    def on_drain_changed(self, drain: bool) -> None:
+        """An operator's call that reached the old process."""
+        self._set_drained(drain)
 
-    def _resize(self, now: Capacity) -> None:
-        self.capacity = now
-        self._clients.resize(now.clients, now.spare_mb)
-        self._servers.resize(now.servers)
+    def _resize(self, capacity: Capacity) -> None:
+        self.capacity = capacity
+        self._clients.resize(capacity.clients, capacity.spare_mb)
+        self._servers.resize(capacity.servers)
--- a/lupinlink/net/log.py
+++ b/lupinlink/net/log.py
@@ -1,4 +1,4 @@
-"""The log: the logging module with a key=value formatter, on standard error."""
+"""Logging to standard error, one line of key=value pairs per record."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def pair(key: str, value: object) -> str:
-    """One key=value; what would break the line is quoted."""
+    """Format one pair; a value with spaces, quotes, ``=`` or unprintable characters is quoted as JSON."""
     text = str(value)
     plain = text and text.isprintable() and not any(c in text for c in ' "=')
     return f"{key}={text if plain else json.dumps(text)}"
 
 
 class KeyValueFormatter(logging.Formatter):
-    """time, level, source and message first, then the record's own pairs (``extra={"kv": {...}}``)."""
+    """Formats time, level, proxy, source and message, then the record's pairs (``extra={"kv": {...}}``)."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
 
 
 def level_of(env: Mapping[str, str]) -> int:
-    """The level that LB_LOG names, info by default; raises SettingsError for a word that is none."""
+    """The level named by LB_LOG, info by default; raises SettingsError for an unknown name."""
     word = env.get("LB_LOG") or "info"
     if word not in LEVELS:
         raise SettingsError(f"LB_LOG: {word!r} is none of {', '.join(LEVELS)}")
@@ -53,12 +53,12 @@
 
 
 def set_up(name: str, level: int = logging.INFO) -> None:
-    """Log everything from here on in this form."""
+    """Send all log records of the process to standard error in this format; ``name``: the proxy's."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter(name))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # What Twisted catches inside protocols would otherwise vanish.
+    # Otherwise exceptions that Twisted catches in protocols would not be logged.
     PythonLoggingObserver("twisted").start()  # type: ignore[no-untyped-call]
     logging.getLogger("twisted").setLevel(logging.WARNING)
--- a/lupinlink/net/management.py
+++ b/lupinlink/net/management.py
@@ -1,4 +1,4 @@
-"""The operators' door: a listener of its own, one call a connection. It only calls the service's state."""
+"""The management API for operators: an HTTP listener of its own that answers one call per connection."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 from lupinlink.net.twisted_types import Transport
 
 log = logging.getLogger(__name__)
-CALL_MS = 10000.0  # some callers take seconds before they ask; nobody in earnest takes so long
-LINGER_MS = 1000.0  # so long may a caller take to read its answer and close
-MOST_BODY = 4096  # no call of the service itself needs one
-# A call: its query and body in, status and text of the answer out. It answers at once.
-Call = Callable[[str, bytes], tuple[int, str]]
-Calls = Mapping[str, Mapping[str, Call]]
+REQUEST_TIMEOUT_MS = 10000.0  # some callers take seconds to send a request, none takes this long
+CLOSE_TIMEOUT_MS = 1000.0  # for the caller to read its answer and close the connection
+MAX_BODY_BYTES = 4096  # the service's own calls need no body
+# Takes the query and the body of a call, returns the status and text of the answer. It must not block.
+Handler = Callable[[str, bytes], tuple[int, str]]
+Routes = Mapping[str, Mapping[str, Handler]]
 
 
-class WrongAskError(Exception):
-    """A call that was asked wrongly; ``status`` 4xx, the text one plain line."""
+class BadCallError(Exception):
+    """A call with an invalid query or body; ``status`` is 4xx, the message one line for the caller."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
         self.status = status
 
 
-def yes_or_no(call: Callable[[], bool]) -> Call:
-    """A call that is answered with yes (200) or no (503), whatever comes with it."""
+def yes_or_no(call: Callable[[], bool]) -> Handler:
+    """A handler that answers yes (200) or no (503) and ignores the query and body."""
     return lambda query, body: (200, "yes\n") if call() else (503, "no\n")
 
 
-def most_callers(sockets: int) -> int:
-    """How many may stand at the door at once; their descriptors are reserved."""
+def connection_limit(sockets: int) -> int:
+    """The number of simultaneous connections to the API, for which descriptors are reserved."""
     return max(4, min(16, sockets // 24))
 
 
-class Caller(Protocol):
+class ManagementConnection(Protocol):
     """One connection of an operator."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, door: Management) -> None:
-        self._door = door
-        self._parser = http1.RequestParser(door.most_body)
+    def __init__(self, api: ManagementApi) -> None:
+        self._api = api
+        self._parser = http1.RequestParser(api.max_body_bytes)
         self._timer: Timer | None = None
         self.answered = False
 
     def connectionMade(self) -> None:
-        self._timer = self._door.clock.after(CALL_MS, self.end)
+        self._timer = self._api.clock.after(REQUEST_TIMEOUT_MS, self.end)
 
     def dataReceived(self, data: bytes) -> None:
         if self.answered:
@@ -64,59 +64,67 @@
             self._answer(exc.status, f"{exc}\n")
             return
         if message is not None:
-            self._answer(*self._door.call(message))
+            self._answer(*self._api.call(message))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self._timer is not None:
             self._timer.drop()
-        self._door.lost(self)
+        self._api.on_closed(self)
 
     def _answer(self, status: int, text: str, more: tuple[tuple[str, str], ...] = ()) -> None:
         self.answered = True
         headers = [("Content-Type", "text/plain"), *more]
         self.transport.write(http1.answer(status, headers, text.encode(), close=True))
-        # Only our side ends: closing over bytes that are still unread would take the answer along.
+        # Only the write side is closed: closing with unread bytes sends a reset that may discard the answer.
         self.transport.loseWriteConnection()
         if self._timer is not None:
             self._timer.drop()
-        self._timer = self._door.clock.after(LINGER_MS, self.end)
+        self._timer = self._api.clock.after(CLOSE_TIMEOUT_MS, self.end)
 
     def end(self) -> None:
         self.transport.abortConnection()
 
 
-class Management(ServerFactory):
-    """Callers stand in the order they came; when the door is full, who has been silent longest gives way."""
+class ManagementApi(ServerFactory):
+    """Routes calls to their handlers.
+
+    At the limit, a new connection displaces the oldest one that was answered, else the oldest one.
+    """
 
     noisy = False
 
     def __init__(
-        self, calls: Calls, most: int, clock: ReactorClock, counters: Counters, most_body: int = MOST_BODY
+        self,
+        routes: Routes,
+        max_connections: int,
+        clock: ReactorClock,
+        counters: Counters,
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        """``most``: callers at once; ``most_body``: bytes of a call's body."""
-        self.clock, self.most_body = clock, most_body
-        self._calls, self._most, self._counters = calls, most, counters
-        self._callers: dict[Caller, None] = {}
-
-    def buildProtocol(self, addr: object) -> Caller:
-        if len(self._callers) >= self._most:
-            # Danger: silent callers that fill the door would keep the call out that matters.
-            oldest = next((c for c in self._callers if c.answered), next(iter(self._callers)))
-            self.lost(oldest)
+        """``max_connections``: at the same time; ``max_body_bytes``: of one call."""
+        self.clock, self.max_body_bytes = clock, max_body_bytes
+        self._routes, self._max_connections, self._counters = routes, max_connections, counters
+        self._connections: dict[ManagementConnection, None] = {}
+
+    def buildProtocol(self, addr: object) -> ManagementConnection:
+        if len(self._connections) >= self._max_connections:
+            # Otherwise silent connections could lock out an operator's call.
+            oldest = next((c for c in self._connections if c.answered), next(iter(self._connections)))
+            self.on_closed(oldest)
             oldest.end()
             self._counters["callers_gave_way"] += 1
-        caller = Caller(self)
-        self._callers[caller] = None
-        return caller
+        connection = ManagementConnection(self)
+        self._connections[connection] = None
+        return connection
 
-    def lost(self, caller: Caller) -> None:
-        """A caller has gone."""
-        self._callers.pop(caller, None)
+    def on_closed(self, connection: ManagementConnection) -> None:
+        """A connection was closed."""
+        self._connections.pop(connection, None)
 
     def call(self, message: http1.Message) -> tuple[int, str, tuple[tuple[str, str], ...]]:
-        """Carry out what was asked: status, text and further headers of the answer."""
+        """Handle a call; returns the status, text and further headers of the answer."""
         path, _, query = message.target.partition("?")
-        methods = self._calls.get(path)
+        methods = self._routes.get(path)
         if methods is None:
             return 404, "no such call\n", ()
         call = methods.get(message.method)
@@ -125,15 +133,15 @@
         self._counters["calls"] += 1
         try:
             status, text = call(query, message.body)
-        except WrongAskError as exc:
+        except BadCallError as exc:
             status, text = exc.status, str(exc)
         except Exception:
             log.exception("call failed", extra={"kv": {"call": path}})
             return 500, "internal error\n", ()
-        said = "yes" if 200 <= status < 300 else "no"
-        log.info("call", extra={"kv": {"call": f"{message.method} {path}", "answer": said}})
+        answer = "yes" if 200 <= status < 300 else "no"
+        log.info("call", extra={"kv": {"call": f"{message.method} {path}", "answer": answer}})
         return status, text if text.endswith("\n") else f"{text}\n", ()
 
     def gauges(self) -> dict[str, int]:
-        """Who stands here."""
-        return {"callers": len(self._callers)}
+        """The number of open connections, for the counters' log line."""
+        return {"callers": len(self._connections)}
--- a/lupinlink/net/process.py
+++ b/lupinlink/net/process.py
@@ -28,7 +28,7 @@
 
 
 def collect_garbage_by_timer(clock: Clock) -> None:
-    """Freeze what startup has allocated, since scanning it would only cause pauses, and collect on a timer."""
+    """Freeze what startup allocated, since scanning it would only cause pauses, and collect on a timer."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(20000, 20, 50)
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -1,4 +1,4 @@
-"""One real proxy as a process: startup, signals, exit."""
+"""One proxy process: startup, signals, configuration reload and exit."""
 
 from __future__ import annotations
 
@@ -20,9 +20,8 @@
 from lupinlink.net.leavers import Leavers
 from lupinlink.net.listener_takeover import ListenerTakeover
 from lupinlink.net.loop_iterations import measure
-from lupinlink.net.management import MOST_BODY, Management, most_callers, yes_or_no
-from lupinlink.net.management import Call as DoorCall
-from lupinlink.net.process import allowed, collect_by_time, resident_mb
+from lupinlink.net.management import MAX_BODY_BYTES, Handler, ManagementApi, connection_limit, yes_or_no
+from lupinlink.net.process import collect_garbage_by_timer, raise_descriptor_limit, resident_mb
 from lupinlink.net.twisted_types import Reactor
 from lupinlink.settings import Config, SettingsError
 
@@ -31,12 +30,13 @@
     from lupinlink.net.fleet_host import FleetHost
 
 log = logging.getLogger(__name__)
-FIXED = ("name", "listen", "mgmt", "sockets", "memory_mb", "settings")  # what a reload cannot change
-CALLERS_BACKLOG = 128
+# A reload of the configuration does not change these.
+RESTART_FIELDS = ("name", "listen", "mgmt", "sockets", "memory_mb", "settings")
+MANAGEMENT_BACKLOG = 128
 
 
 class Service:
-    """Puts the parts together and takes them down again."""
+    """Builds the components of the process, runs them and shuts them down."""
 
     def __init__(
         self,
@@ -45,97 +45,107 @@
         load: Callable[[], Config],
         fleet: FleetExtension | None = None,
     ) -> None:
-        """``load`` reads the configuration anew; ``fleet``: what a fleet file adds."""
+        """``load`` reads the configuration again; ``fleet``: the extension that a fleet file adds."""
         self._config, self._reactor, self._load = config, reactor, load
-        # Twisted times calls by the wall clock, which may be set; deadlines must not follow it.
+        # By default Twisted schedules calls by the wall clock, and a change of it would shift deadlines.
         reactor.seconds = time.monotonic
-        sockets = allowed(config.sockets)
-        limits = Limits(sockets, config.memory_mb, most_callers(sockets) if config.mgmt else 0)
-        now = capacity_for(limits)
-        if now.clients + now.servers < MIN_CONNECTIONS:
-            raise SettingsError(f"limits leave room for {max(0, now.clients + now.servers)} connections only")
-        parts = self._parts = build(config, reactor, now)
+        sockets = raise_descriptor_limit(config.sockets)
+        limits = Limits(sockets, config.memory_mb, connection_limit(sockets) if config.mgmt else 0)
+        capacity = capacity_for(limits)
+        if capacity.clients + capacity.servers < MIN_CONNECTIONS:
+            raise SettingsError(
+                f"limits leave room for {max(0, capacity.clients + capacity.servers)} connections only;"
+                " raise sockets or memory_mb"
+            )
+        components = self._components = build(config, reactor, capacity)
         self._counters, self._lifecycle, self._discovery_client = (
-            parts.counters,
-            parts.lifecycle,
-            parts.discovery_client,
+            components.counters,
+            components.lifecycle,
+            components.discovery_client,
         )
-        self._leavers = Leavers(parts, self._leave)
-        self._premises = ListenerTakeover(config, limits, now, parts, self._told, self._leavers.watch)
-        calls: dict[str, dict[str, DoorCall]] = {
+        self._leavers = Leavers(components, self._exit)
+        self._takeover = ListenerTakeover(
+            config, limits, capacity, components, self._set_drained, self._leavers.watch
+        )
+        calls: dict[str, dict[str, Handler]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
             "/control/out-of-service": {"PUT": yes_or_no(self._out_of_service)},
             "/control/in-service": {"PUT": yes_or_no(self._in_service)},
         }
-        self._hosting = self._host(fleet) if fleet is not None else None
-        if self._hosting is not None:
-            calls = self._hosting.calls(calls)
-        most_body = MAX_BODY if self._hosting is not None else MOST_BODY
-        self._door = Management(calls, most_callers(sockets), parts.clock, self._counters, most_body)
+        self._fleet_host = self._host(fleet) if fleet is not None else None
+        if self._fleet_host is not None:
+            calls = self._fleet_host.calls(calls)
+        max_body_bytes = MAX_BODY if self._fleet_host is not None else MAX_BODY_BYTES
+        self._management = ManagementApi(
+            calls, connection_limit(sockets), components.clock, self._counters, max_body_bytes
+        )
 
     def _host(self, fleet: FleetExtension) -> FleetHost:
-        """Our side of the seam."""
-        from lupinlink.net.fleet_host import Acts, FleetHost
+        """What the fleet extension may use of this service."""
+        from lupinlink.net.fleet_host import FleetHost, ServiceActions
 
         return FleetHost(
-            fleet, self._config, self._parts, Acts(self._out_of_service, self._in_service, self._stop)
+            fleet,
+            self._config,
+            self._components,
+            ServiceActions(self._out_of_service, self._in_service, self._stop),
         )
 
     def run(self) -> int:
-        """Serve until a signal ends it."""
-        # From the first moment on: the system's own answer to these two is to end the process.
+        """Serve until a signal ends the process; returns the exit code. Raises SettingsError."""
+        # Before anything else, since the default action of these two signals is to end the process.
         signal.signal(signal.SIGHUP, self._on_reload)
         signal.signal(signal.SIGUSR1, self._on_show)
         try:
             self._discovery_client.start(self._config.known)
         except ListError as exc:
             raise SettingsError(f"known: {exc}") from exc
-        self._open_door()
-        self._reactor.callWhenRunning(self._started)  # first: who reads that it serves may send SIGTERM
-        self._premises.enter()
-        if self._premises.fault is None:
+        self._open_management()
+        self._reactor.callWhenRunning(self._started)  # before it logs that it serves: SIGTERM may follow
+        self._takeover.start()
+        if self._takeover.error is None:
             self._reactor.run()
-        if self._premises.fault is not None:
-            raise self._premises.fault
+        if self._takeover.error is not None:
+            raise self._takeover.error
         self._counters.show("exit")
         return 0
 
-    def _open_door(self) -> None:
+    def _open_management(self) -> None:
         if self._config.mgmt is None:
             return
         host, port = self._config.mgmt
         try:
-            door = self._reactor.listenTCP(port, self._door, CALLERS_BACKLOG, host)
+            listener = self._reactor.listenTCP(port, self._management, MANAGEMENT_BACKLOG, host)
         except (CannotListenError, OSError) as exc:
             why = exc.socketError if isinstance(exc, CannotListenError) else exc
             raise SettingsError(f"mgmt: {host}:{port}: {why}") from exc
-        log.info("door", extra={"kv": {"at": host, "mgmt_port": door.getHost().port}})
+        log.info("door", extra={"kv": {"at": host, "mgmt_port": listener.getHost().port}})
 
     def _started(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._on_stop)
-        collect_by_time(self._parts.clock)
-        measure(self._reactor, self._parts.clock.iterations)
-        if self._hosting is not None:
-            self._hosting.start()
+        collect_garbage_by_timer(self._components.clock)
+        measure(self._reactor, self._components.clock.iterations)
+        if self._fleet_host is not None:
+            self._fleet_host.start()
 
     def _on_reload(self, number: int, frame: FrameType | None) -> None:
         self._reactor.callFromThread(self._reload)
 
     def _reload(self) -> None:
-        """The configuration's file was replaced. What cannot be used changes nothing."""
+        """Load the configuration file again. If it is not valid, nothing changes."""
         self._counters["reloads"] += 1
         if self._lifecycle.stopping:
             log.info("reload ignored", extra={"kv": {"why": "stopping"}})
             return
         try:
             new = self._load()
-        except Exception as exc:  # whatever is wrong with a file, the old configuration serves on
+        except Exception as exc:  # whatever is wrong with the file, the old configuration stays in use
             log.error("reload failed", extra={"kv": {"why": " ".join(str(exc).split())}})
             return
-        fixed = [name for name in FIXED if getattr(new, name) != getattr(self._config, name)]
+        changed = [name for name in RESTART_FIELDS if getattr(new, name) != getattr(self._config, name)]
         host, port = new.discovery
-        kv = {"discovery": f"{host}:{port}", "needs_restart": ",".join(fixed) or "nothing"}
+        kv = {"discovery": f"{host}:{port}", "needs_restart": ",".join(changed) or "nothing"}
         log.info("reloaded", extra={"kv": kv})
         self._discovery_client.move(new.discovery)
 
@@ -143,61 +153,61 @@
         self._reactor.callFromThread(self._show)
 
     def _show(self) -> None:
-        parts = self._parts
+        components = self._components
         self._counters.show(
             "signal",
-            open=parts.proxy.open,
+            open=components.proxy.open,
             servers_ready=self._discovery_client.ready,
             servers_listed=len(self._discovery_client),
-            deadlines=len(parts.clock.deadlines),
-            timers=len(parts.clock.timer_wheel),
-            **parts.clients.gauges(),
-            **self._door.gauges(),
+            deadlines=len(components.clock.deadlines),
+            timers=len(components.clock.timer_wheel),
+            **components.clients.gauges(),
+            **self._management.gauges(),
             resident_mb=int(resident_mb()),
-            **parts.clock.iterations.gauges(),
-            **parts.servers.gauges(),
-            **parts.proxy.gauges(),
+            **components.clock.iterations.gauges(),
+            **components.servers.gauges(),
+            **components.proxy.gauges(),
         )
 
     def _on_stop(self, number: int, frame: FrameType | None) -> None:
         self._reactor.callFromThread(self._stop)
 
-    def _told(self, drain: bool) -> None:
+    def _set_drained(self, drain: bool) -> None:
         if drain:
             self._out_of_service()
         else:
             self._in_service()
 
     def _out_of_service(self) -> bool:
-        self._lifecycle.out_of_service(self._parts.clock.now())
-        self._premises.pass_on(drain=True)
+        self._lifecycle.out_of_service(self._components.clock.now())
+        self._takeover.pass_on(drain=True)
         self._leavers.watch()
         return True
 
     def _in_service(self) -> bool:
         self._lifecycle.in_service()
-        self._premises.pass_on(drain=False)
+        self._takeover.pass_on(drain=False)
         return not self._lifecycle.stopping
 
     def _stop(self) -> None:
         if not self._lifecycle.stopping:
-            self._lifecycle.stop(self._parts.clock.now())
-            log.info("stopping", extra={"kv": {"open": self._parts.proxy.open}})
-            if self._hosting is not None:
-                self._hosting.stop()
+            self._lifecycle.stop(self._components.clock.now())
+            log.info("stopping", extra={"kv": {"open": self._components.proxy.open}})
+            if self._fleet_host is not None:
+                self._fleet_host.stop()
             self._leavers.watch()
 
-    def _leave(self) -> None:
-        """Nothing more can come here."""
-        self._premises.leave()
-        if self._hosting is not None:
-            self._hosting.stop()
+    def _exit(self) -> None:
+        """Shut down; no request can reach this process any more."""
+        self._takeover.stop()
+        if self._fleet_host is not None:
+            self._fleet_host.stop()
         self._discovery_client.stop()
         self._reactor.stop()
 
 
 def serve(config: Config, load: Callable[[], Config], fleet: FleetExtension | None = None) -> int:
-    """Run one proxy in this process; ``load`` reads its configuration anew, ``fleet`` is a fleet file's."""
+    """Run one proxy in this process; arguments as for ``Service``. Returns the exit code."""
     from twisted.internet import reactor
 
     logs.set_up(config.name, logs.level_of(os.environ))
--- a/lupinlink/net/twisted_types.py
+++ b/lupinlink/net/twisted_types.py
@@ -1,4 +1,4 @@
-"""Those parts of Twisted's TCP that are used here, as strict typing needs them: it ships them untyped."""
+"""Protocol types for the parts of Twisted's TCP interface that the proxy uses; Twisted's own are untyped."""
 # ruff: noqa: N802, N803
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from twisted.internet.base import DelayedCall
 from twisted.internet.protocol import ClientFactory, ServerFactory
 
-# Twisted asks for 64 KiB at a time: that much memory, to be cut to size, for each read.
+# Twisted's default of 64 KiB allocates that much memory for each read, and then cuts it to size.
 READ_BYTES = 16 * 1024
 
 
@@ -40,7 +40,7 @@
 
 
 class Connector(Protocol):
-    """A connection on its way up."""
+    """A connection that is being established."""
 
     def stopConnecting(self) -> None: ...
     def disconnect(self) -> None: ...
@@ -54,7 +54,7 @@
 class Port(Protocol):
     """A listening socket."""
 
-    socket: Any  # the standard library's
+    socket: Any  # a socket.socket
 
     def getHost(self) -> Address: ...
     def fileno(self) -> int: ...
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,8 +13,8 @@
 from lupinlink.net.lifecycle import (
     DRAIN_IDLE_MS,
     HANDED_OVER_IDLE_MS,
-    STOP_STAY_MS,
     STOP_IDLE_MS,
+    STOP_STAY_MS,
     Lifecycle,
     LifecycleState,
 )
