--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -1,8 +1,9 @@
-"""The shell that wires the fleet's parts into one proxy; loaded only when a fleet file is given.
+"""The fleet extension of one proxy; loaded only when a fleet file is given.
 
-It is the service's ``FleetSide``. Everything is put together before the service is, which asks for the door's
-calls then, and begins to act in ``started``. A part is wired by a module of its own (``WIRED``): its ``make``
-gets the ``Kit`` and its table's settings and gives a ``Part``, which may be a ``Gate`` as well.
+It consists of parts (quota, release, migration), one for each table of the fleet file. All are made before
+the service, which then asks for their management calls; they start to act in ``started``. Each part has a
+module (``PART_MODULES``) whose ``make`` takes the ``FleetContext`` and the table's settings and returns a
+``Part``, which may implement ``AdmissionControl`` as well.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
     from lupinlink.settings import Config
 
 log = logging.getLogger(__name__)
-WIRED = {  # by table of the fleet file: the module whose ``make`` wires the part
+PART_MODULES = {  # by table of the fleet file
     "release": "lupinlink.net.fleet_release",
     "quota": "lupinlink.net.fleet_quota",
     "migration": "lupinlink.net.fleet_migration",
@@ -45,8 +46,8 @@
 
 
 @runtime_checkable
-class Gate(Protocol):
-    """A part that may refuse calls; there is one at most."""
+class AdmissionControl(Protocol):
+    """A part that may refuse calls; at most one part does."""
 
     def admits(self, call: Call) -> Refusal | None:
         """As ``FleetSide.admits``."""
@@ -60,38 +61,38 @@
 
 @dataclass(slots=True)
 class FleetContext:
-    """What a part is made of."""
+    """What the parts of the extension share."""
 
     agreement: Agreement
     clock: ReactorClock
-    tenure: Tenure  # the process's one lease: a lease of its own would cost a part a call each 3 s
+    tenure: Tenure  # the one lease of the process: a lease per part would cost a call every 3 s each
     draw: Callable[[], float]
     member: Member
     settings: AgreementSettings
-    folder: str  # of the fleet file
-    tables: Mapping[str, Any] = field(default_factory=dict)  # the parts' settings, by table
-    made: dict[str, Part] = field(default_factory=dict)  # the parts before this one, by table
-    run: str = ""  # drawn for this process
+    folder: str  # the folder of the fleet file
+    settings_by_table: Mapping[str, Any] = field(default_factory=dict)  # the settings of the parts
+    parts: dict[str, Part] = field(default_factory=dict)  # those made so far, by table
+    run_id: str = ""  # random, identifies this process
     _host: ExtensionHost | None = None
     _lead: Lead | None = None
-    _led: bool = False  # by a part that starts and stops it itself
+    _lead_managed_by_part: bool = False  # a part starts and stops it
     _wishes: Wishes | None = None
 
     @property
     def host(self) -> ExtensionHost:
-        """The service; there from ``Part.start`` on."""
+        """The service; available from ``Part.start`` on."""
         assert self._host is not None, "the service has not started"
         return self._host
 
     @property
     def wishes(self) -> Wishes:
-        """Who wants this proxy out of service; a part takes it out and back through this alone."""
+        """The reasons to keep this proxy out of service; parts drain it, or end a drain, only by these."""
         if self._wishes is None:
             self._wishes = Wishes(self.host.drain, self.host.in_service)
         return self._wishes
 
     def lead(self) -> Lead:
-        """The one lead that all parts share: whoever has it advances all that is planned."""
+        """The leadership that all parts share: its holder advances all plans of the fleet."""
         if self._lead is None:
             self._lead = Lead(
                 self.agreement, self.clock, self.tenure, "lead", self.member.name, self.draw,
@@ -101,51 +102,53 @@
             )  # fmt: skip
         return self._lead
 
-    def lead_by(self, lead: Lead) -> None:
-        """A part brings the lead, and starts and stops it."""
-        self._lead, self._led = lead, True
+    def use_lead(self, lead: Lead) -> None:
+        """Share the leadership of a part, which starts and stops it."""
+        self._lead, self._lead_managed_by_part = lead, True
 
     def begin(self, host: ExtensionHost) -> None:
-        """The service has started."""
+        """The service has started: set the host, and start the leadership unless a part does."""
         self._host = host
-        if self._lead is not None and not self._led:
+        if self._lead is not None and not self._lead_managed_by_part:
             self._lead.start()
 
     def stop(self) -> None:
-        """The service ends."""
-        if self._lead is not None and not self._led:
+        """The service is stopping."""
+        if self._lead is not None and not self._lead_managed_by_part:
             self._lead.stop()
 
 
 class Fleet:
-    """The fleet's side of one process."""
+    """Implements ``FleetExtension`` for one process."""
 
     def __init__(self, file: FleetFile, config: Config, reactor: Reactor, version: str) -> None:
-        """Raises FleetPartError, and what a part's own making raises."""
+        """Raises FleetPartError, and the errors that a part's ``make`` raises."""
         agreement, member = file.agreement, file.member
         zones, zone = config.settings.zones, config.settings.zone
         own_zone = zones[zone] if zone < len(zones) else str(zone)
-        draw = random.SystemRandom().random  # Danger: equal seeds would make a fleet act in step
+        draw = random.SystemRandom().random  # equal seeds would make all proxies act at the same times
         clock = ReactorClock(reactor)
-        self._began = time.monotonic()
-        self._wire = self._service(agreement, reactor, clock, config.name)
+        self._started_at = time.monotonic()
+        self._wire = self._connect_agreement(agreement, reactor, clock, config.name)
         pacing = Pacing(agreement.ask_ms, agreement.wait_s * 1000.0)
-        self._client = Client(self._wire, clock, draw, pacing)
-        self._tenure = Tenure(self._client, clock, agreement.lease_s * 1000.0, draw)
+        self._agreement = Client(self._wire, clock, draw, pacing)
+        self._tenure = Tenure(self._agreement, clock, agreement.lease_s * 1000.0, draw)
         self._file = file
         self._context = FleetContext(
-            self._client, clock, self._tenure, draw,
+            self._agreement, clock, self._tenure, draw,
             Member(config.name, member.zone or own_zone, member.version or version, member.pool),
-            agreement, file.folder, file.parts, run=f"{config.name}-{draw():.16f}",
+            agreement, file.folder, file.parts, run_id=f"{config.name}-{draw():.16f}",
         )  # fmt: skip
-        self._presence = Presence(self._client, clock, self._tenure, self._context.member, draw)
+        self._presence = Presence(self._agreement, clock, self._tenure, self._context.member, draw)
         for table, settings in file.parts.items():
-            self._context.made[table] = self._make(table, settings)
-        gates = [part for part in self._context.made.values() if isinstance(part, Gate)]
-        self._gate = gates[0] if gates else None
+            self._context.parts[table] = self._make_part(table, settings)
+        controls = [part for part in self._context.parts.values() if isinstance(part, AdmissionControl)]
+        self._admission = controls[0] if controls else None
 
     @staticmethod
-    def _service(agreement: AgreementSettings, reactor: Reactor, clock: ReactorClock, name: str) -> Wire:
+    def _connect_agreement(
+        agreement: AgreementSettings, reactor: Reactor, clock: ReactorClock, name: str
+    ) -> Wire:
         if agreement.form == "memory":
             return MemoryService(clock, agreement.lock_delay_s * 1000.0).wire()
         from lupinlink.coordination.consul import ConsulWire, Place
@@ -155,27 +158,29 @@
         place = Place(host, port, agreement.prefix, agreement.token, agreement.call_ms, lock_delay_ms, name)
         return ConsulWire(reactor, place)
 
-    def _make(self, table: str, settings: Any) -> Part:
+    def _make_part(self, table: str, settings: Any) -> Part:
         try:
-            made = import_module(WIRED[table]).make(self._context, settings)
+            part = import_module(PART_MODULES[table]).make(self._context, settings)
         except ModuleNotFoundError as exc:
             raise FleetPartError(f"{table}: {exc}") from exc
-        return cast(Part, made)
+        return cast(Part, part)
 
     def started(self, host: ExtensionHost) -> None:
         """The reactor runs."""
         self._context.begin(host)
-        self._tenure.listen(lambda lease: None, self._lost)
+        self._tenure.listen(lambda lease: None, self._on_lease_lost)
         self._tenure.start()
         self._presence.start()
-        for part in self._context.made.values():
+        for part in self._context.parts.values():
             part.start()
         where = self._file.agreement.address if self._file.agreement.form == "consul" else "memory"
-        log.info("fleet", extra={"kv": {"agreement": where, "parts": ",".join(self._context.made) or "none"}})
+        log.info(
+            "fleet", extra={"kv": {"agreement": where, "parts": ",".join(self._context.parts) or "none"}}
+        )
 
     def stopping(self) -> None:
-        """This process ends. What is told the service now may arrive or not; leases end by themselves."""
-        for part in self._context.made.values():
+        """This process is stopping. Last calls to the agreement service may be lost, but leases expire."""
+        for part in self._context.parts.values():
             try:
                 part.stop()
             except Exception:
@@ -185,9 +190,11 @@
         self._tenure.stop()
 
     def calls(self) -> DoorCalls:
-        """The parts' calls, and one that tells how this process stands with the agreement service."""
-        table: dict[str, Mapping[str, Callable[[Ask], Answer]]] = {"/control/fleet": {"GET": self._state}}
-        for name, part in self._context.made.items():
+        """The calls of the parts, and one that shows this process's state at the agreement service."""
+        table: dict[str, Mapping[str, Callable[[Ask], Answer]]] = {
+            "/control/fleet": {"GET": self._show_state}
+        }
+        for name, part in self._context.parts.items():
             for path, methods in part.calls().items():
                 if path in table:
                     raise FleetPartError(f"{name}: {path} is a call of another part")
@@ -195,22 +202,22 @@
         return table
 
     def admits(self, call: Call) -> Refusal | None:
-        """As the quota has it."""
-        return self._gate.admits(call) if self._gate is not None else None
+        """As decided by the part that controls admission, if there is one."""
+        return self._admission.admits(call) if self._admission is not None else None
 
     @property
     def settled(self) -> Callable[[Call], None] | None:
-        """As the quota has it."""
-        return self._gate.settled if self._gate is not None else None
+        """As needed by the part that controls admission, if there is one."""
+        return self._admission.settled if self._admission is not None else None
 
-    def _lost(self, error: LupinError) -> None:
+    def _on_lease_lost(self, error: LupinError) -> None:
         log.warning("lease lost", extra={"kv": {"why": error.line()}})
 
-    def _state(self, ask: Ask) -> Answer:
+    def _show_state(self, ask: Ask) -> Answer:
         lease, now = self._tenure.lease, self._context.clock.now()
         member, agreement = self._context.member, self._file.agreement
-        seconds = max(1e-3, time.monotonic() - self._began)
-        kinds = ", ".join(f"{kind} {n}" for kind, n in sorted(self._client.calls_by_kind.items()))
+        seconds = max(1e-3, time.monotonic() - self._started_at)
+        kinds = ", ".join(f"{kind} {n}" for kind, n in sorted(self._agreement.calls_by_kind.items()))
         held = f"held, believed for {(lease.until_ms() - now) / 1000.0:.1f} s more" if lease else "none"
         where = f"{agreement.address}, below {agreement.prefix}" if agreement.form == "consul" else "memory"
         rows = {
@@ -219,8 +226,8 @@
             "agreement": where,
             "lease": held if lease or not self._tenure.failures else f"none: {self._tenure.why}",
             "joined": "yes" if self._presence.known else "no",
-            "calls": f"{self._client.calls} in {seconds:.0f} s, {self._client.calls / seconds:.2f} a second "
-            f"({kinds or 'none'})",
-            "parts": ", ".join(self._context.made) or "none",
+            "calls": f"{self._agreement.calls} in {seconds:.0f} s, "
+            f"{self._agreement.calls / seconds:.2f} a second ({kinds or 'none'})",
+            "parts": ", ".join(self._context.parts) or "none",
         }
         return Answer(200, "".join(f"{name:<10} {text}\n" for name, text in rows.items()))
--- a/lupinlink/net/fleet_extension.py
+++ b/lupinlink/net/fleet_extension.py
@@ -1,7 +1,7 @@
-"""The seam between the service and a fleet file: what each side may ask of the other.
+"""The interface between the service and its fleet extension.
 
-Loaded only with a fleet file: a plain ``serve`` knows nothing of it. ``lupinlink.net.fleet_host`` is the
-service's side (Host), ``lupinlink.net.fleet`` the other (FleetSide). Times are milliseconds of the clock.
+Loaded only if there is a fleet file. ``lupinlink.net.fleet_host`` implements ``ExtensionHost`` for the
+service, ``lupinlink.net.fleet`` implements ``FleetExtension``. Times are milliseconds of the clock.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A call is over its quota. ``retry_after_ms``: when a next one may be let on; 0: not told."""
+    """A call is over its quota. ``retry_after_ms``: when the next one may be admitted; 0: unknown."""
 
     retry_after_ms: float = 0.0
 
 
-class Listed(NamedTuple):
-    """One application server of the list."""
+class ListedServer(NamedTuple):
+    """One application server on the list from discovery."""
 
     name: str
-    zone: str  # as discovery wrote it; empty: it did not
-    state: str  # ready, or draining; as discovery told it, withheld or not
+    zone: str  # as given by discovery; empty: not given
+    state: str  # ready or draining, as given by discovery, even if the server is withheld
     reached: bool  # whether the last connection to it came up; True before the first
-    started_ms: float = 0.0  # when it started, as discovery wrote it; 0: long ago
+    started_ms: float = 0.0  # when it started, as given by discovery; 0: long ago
 
 
 class Outcomes(NamedTuple):
@@ -41,40 +41,40 @@
 
     ended: int = 0
     served: int = 0
-    turned_away: int = 0  # they surely never ran
-    failed: int = 0  # all others, but for those that were called off here
+    turned_away: int = 0  # refused by the server: they never ran
+    failed: int = 0  # all others, except those that this proxy cancelled
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What is here at one moment."""
+    """The connections and requests of this process at one moment."""
 
     connections: int  # of clients: idle, busy and closing
-    idle: int  # with no part of a request here
-    busy: int  # with a request on its way in, open, or with its answer on its way out
-    closing: int  # answered for the last time, still to be read
-    requests: int  # with the decisions, that still owe an answer
-    oldest_ms: float  # the age of the oldest request that keeps a connection busy; 0: there is none
-    bytes_to_go: int  # of long answers and of bodies on their way in, where their length is told
-    untold: int  # of these, those whose length is not told
-    unread: int  # long answers whose client does not read at the moment
-    servers_ready: int  # application servers that take work
-    use: float | None  # mean use (1.0: all cores busy) that those last reported; None: none has lately
-    counters: Mapping[str, int] = field(default_factory=dict)  # since this process's start
-    capacity: int = 0  # connections of clients that may be here
+    idle: int  # with no part of a request received
+    busy: int  # receiving a request, waiting for its answer, or sending it
+    closing: int  # the last answer is sent, but not read by the client yet
+    requests: int  # of the decision module, not yet answered
+    oldest_ms: float  # age of the oldest request that keeps a connection busy; 0: none
+    bytes_to_go: int  # left of long answers and of request bodies, where the length is known
+    untold: int  # answers and bodies of unknown length
+    unread: int  # long answers whose client is not reading at the moment
+    servers_ready: int  # application servers that accept requests
+    use: float | None  # mean utilization (1.0: all cores busy) in their last reports; None: no recent report
+    counters: Mapping[str, int] = field(default_factory=dict)  # since the start of this process
+    capacity: int = 0  # the most client connections
 
 
 class ExtensionHost(Protocol):
-    """What the service offers to the fleet's shell; all calls come on the reactor's thread."""
+    """What the service offers to the extension; all calls come on the reactor's thread."""
 
     @property
     def name(self) -> str:
-        """The proxy's, the same after a restart; an upgrade's two processes share it."""
+        """The proxy's name: the same after a restart, and for both processes of an upgrade."""
         ...
 
     @property
     def settings(self) -> Settings:
-        """The names behind a call's class and tenant numbers."""
+        """The settings, which name the classes and tenants that a call gives by number."""
         ...
 
     @property
@@ -88,12 +88,12 @@
 
     @property
     def drained(self) -> bool:
-        """Whether the operators want no clients here; it outlasts an upgrade."""
+        """Whether operators have taken this proxy out of service; an upgrade preserves this."""
         ...
 
     @property
     def ready(self) -> bool:
-        """Whether this process can serve, drained or not; as the door's ``ready``."""
+        """Whether this process can serve, drained or not; as ``/control/ready`` of the management API."""
         ...
 
     @property
@@ -102,48 +102,48 @@
         ...
 
     def drain(self) -> None:
-        """Take this proxy out of service, as the door's call does."""
+        """Take this proxy out of service, as the call of the management API does."""
         ...
 
     def in_service(self) -> bool:
-        """Take clients again, as the door's call does; False: it is stopping."""
+        """Accept clients again, as the call of the management API does; False: the process is stopping."""
         ...
 
     def end(self) -> None:
         """End this process as SIGTERM does."""
         ...
 
-    def end_last(self) -> int:
-        """Give what is open its answer now and close what is at rest; how many connections were here."""
+    def answer_all_and_close_idle(self) -> int:
+        """Answer all open requests now and close idle connections; returns the number of connections."""
         ...
 
     def gauges(self) -> Gauges:
-        """What is here now. Costs a look at each long answer and body; to be asked a few times a second."""
+        """The present state. Visits each long answer and body, so call it only a few times a second."""
         ...
 
-    def servers(self) -> list[Listed]:
-        """The application servers of the list."""
+    def servers(self) -> list[ListedServer]:
+        """The application servers on the list."""
         ...
 
-    def use(self) -> Mapping[str, float]:
-        """The use (1.0: all cores busy) that application servers last reported here, by name.
+    def utilization(self) -> Mapping[str, float]:
+        """Utilization (1.0: all cores busy) by name, as application servers last reported it to this process.
 
-        A report counts for 10 s; of many proxies each one sees few of a server's reports.
+        A report counts for 10 s, since each of many proxies sees few of a server's reports.
         """
         ...
 
     def outcomes(self) -> Mapping[str, Outcomes]:
-        """How attempts ended, by application server; those that have left the list are forgotten."""
+        """How attempts ended, by application server; those that left the list are dropped."""
         ...
 
-    def busy(self) -> set[str]:
-        """Application servers that have a request from here."""
+    def busy_servers(self) -> set[str]:
+        """Application servers with an open request of this process."""
         ...
 
     def withhold(self, names: frozenset[str]) -> None:
         """Take these application servers, and no others, out of use here.
 
-        It only narrows: what the list does not have ready stays out, whatever is withheld.
+        A server that the list does not give as ready stays out of use in any case.
         """
         ...
 
@@ -152,29 +152,29 @@
     """What a fleet file adds to the service; all calls come on the reactor's thread."""
 
     def started(self, host: ExtensionHost) -> None:
-        """The reactor runs; called once. Clients may come before or after it."""
+        """The reactor runs; called once. Clients may connect before or after this."""
         ...
 
     def stopping(self) -> None:
-        """This process ends: called once, at SIGTERM or as it leaves its place to a successor.
+        """This process is stopping: called once, at SIGTERM or when it exits after a handover.
 
-        It goes on for some seconds after SIGTERM, but does not wait for anything that is begun here.
+        The process goes on for some seconds after SIGTERM, but does not wait for work started here.
         """
         ...
 
     def calls(self) -> DoorCalls:
-        """Further calls of the operators' door; asked for once, before ``started``."""
+        """Further calls of the management API; called once, before ``started``."""
         ...
 
     def admits(self, call: Call) -> Refusal | None:
-        """Whether a call may go to the decisions (None), or is refused at once, with 429.
+        """None if a call may go to the decision module, else its refusal, which is answered at once with 429.
 
-        A call that the proxy cannot take in any case is not asked for. A fault in here fails the call
-        (500): it goes neither past the quota nor unseen.
+        Not called for calls that the proxy cannot accept anyway. An exception fails the call with 500, so
+        that a fault neither bypasses the quota nor goes unnoticed.
         """
         ...
 
     @property
     def settled(self) -> Callable[[Call], None] | None:
-        """Told of each call that was admitted once nothing is owed for it any more; None: of none."""
+        """Called with each admitted call once it is completely answered; None: not needed."""
         ...
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -14,7 +14,7 @@
 from lupinlink.interface import NEVER_RAN, Status
 from lupinlink.net.clients import Phase
 from lupinlink.net.components import Components
-from lupinlink.net.fleet_extension import FleetExtension, Gauges, Listed, Outcomes
+from lupinlink.net.fleet_extension import FleetExtension, Gauges, ListedServer, Outcomes
 from lupinlink.net.lifecycle import LifecycleState
 from lupinlink.net.lists import STATES
 from lupinlink.net.management import BadCallError, Handler
@@ -49,7 +49,7 @@
         if use is not None:
             self._last[server] = use, now
 
-    def use(self, now: float) -> dict[str, float]:
+    def recent(self, now: float) -> dict[str, float]:
         """Utilization by backend, from reports not older than REPORT_LIFETIME_MS."""
         self._last = {name: seen for name, seen in self._last.items() if now - seen[1] <= REPORT_LIFETIME_MS}
         return {name: use for name, (use, _) in self._last.items()}
@@ -180,7 +180,7 @@
         """End the process as SIGTERM does."""
         self._actions.end()
 
-    def end_last(self) -> int:
+    def answer_all_and_close_idle(self) -> int:
         """Answer every open request now and close idle connections; returns the number of connections."""
         here = len(self._clients.connections)
         self._proxy.end_all()
@@ -195,7 +195,7 @@
         oldest = [next(iter(phases[phase])).since for phase in (Phase.OPEN, Phase.BODY) if counts[phase]]
         long = {**phases[Phase.BODY], **self._clients.receiving, **self._clients.flowing}
         left = [client.to_go() for client in long]
-        known = self.use()
+        known = self.utilization()
         uses = [known[one.name] for one in self.servers() if one.state == "ready" and one.name in known]
         return Gauges(
             connections=len(self._clients.connections),
@@ -213,25 +213,27 @@
             capacity=self._clients.connections.capacity,
         )
 
-    def servers(self) -> list[Listed]:
+    def servers(self) -> list[ListedServer]:
         """The backends on the list."""
         found = []
         for item in self._discovery_client.snapshot()["targets"]:
             name, state = str(item["uid"]), STATES.get(item["state"])
             ready = "ready" if state is not None and state.name == "READY" else "draining"
             began = float(item.get("boot_ms") or 0.0)
-            found.append(Listed(name, str(item.get("az") or ""), ready, self._servers.reached(name), began))
+            found.append(
+                ListedServer(name, str(item.get("az") or ""), ready, self._servers.reached(name), began)
+            )
         return found
 
-    def use(self) -> Mapping[str, float]:
+    def utilization(self) -> Mapping[str, float]:
         """Recently reported utilization by backend."""
-        return self._reports.use(self.clock.now())
+        return self._reports.recent(self.clock.now())
 
     def outcomes(self) -> Mapping[str, Outcomes]:
         """How attempts ended, by backend."""
         return self._outcomes.of([one.name for one in self.servers()])
 
-    def busy(self) -> set[str]:
+    def busy_servers(self) -> set[str]:
         """Backends with an open request of this process."""
         return self._servers.busy()
 
--- a/lupinlink/net/fleet_migration.py
+++ b/lupinlink/net/fleet_migration.py
@@ -1,4 +1,4 @@
-"""Wires migrations into the fleet's shell: their view of this proxy, and the lead they share."""
+"""Makes migrations a part of the fleet extension: their view of this proxy, and the shared leadership."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from lupinlink.migration.settings import MigrationSettings
     from lupinlink.net.fleet import FleetContext
-WHO = "migration"
+DRAIN_REASON = "migration"
 
 
 class MigrationHost:
-    """``lupinlink.migration.host.Host`` over the service."""
+    """Implements ``lupinlink.migration.host.Host`` over the service."""
 
     def __init__(self, context: FleetContext) -> None:
         self._context, self._host = context, context.host
@@ -25,7 +25,7 @@
         return self._host.ready and not self._host.ends_soon
 
     def figures(self) -> Figures:
-        """What it holds now; a server is warm once it is older than the settings' cold time."""
+        """The present state; a server is warm once it is older than the settings' cold time."""
         here, now, cold_ms = self._host.gauges(), self._context.clock.now(), self._host.settings.cold_ms
         warm = [one for one in self._host.servers() if one.state == "ready"]
         warm = [one for one in warm if one.started_ms <= 0.0 or now - one.started_ms >= cold_ms]
@@ -36,23 +36,23 @@
         )  # fmt: skip
 
     def drain(self) -> None:
-        self._context.wishes.want(WHO, out=True)
+        self._context.wishes.want(DRAIN_REASON, out=True)
 
     def in_service(self) -> None:
-        self._context.wishes.want(WHO, out=False)
+        self._context.wishes.want(DRAIN_REASON, out=False)
 
     def end_last(self) -> int:
-        return self._host.end_last()
+        return self._host.answer_all_and_close_idle()
 
     def remember(self, text: bytes) -> None:
-        """Nothing survives a process on this platform: its folder is emptied at each start."""
+        """Does nothing: the platform empties a process's folder at each start, so no file would survive."""
 
     def recall(self) -> bytes:
         return b""
 
 
 def make(context: FleetContext, settings: MigrationSettings) -> Migrations:
-    """The part; gates and bounds are those of the release's table, or its defaults where there is none."""
-    release = context.tables.get("release") or ReleaseSettings()
-    base = Base(context.agreement, context.clock, context.draw, "", context.run)
+    """Make the part; gates and bounds come from the release table, or its defaults if there is none."""
+    release = context.settings_by_table.get("release") or ReleaseSettings()
+    base = Base(context.agreement, context.clock, context.draw, "", context.run_id)
     return Migrations(base, context.member, lambda: MigrationHost(context), context.lead(), settings, release)
--- a/lupinlink/net/fleet_release.py
+++ b/lupinlink/net/fleet_release.py
@@ -1,4 +1,4 @@
-"""Wires drains and releases into the fleet's shell: their view of this proxy, and the door's two calls."""
+"""Makes releases a part of the fleet extension: their view of this proxy, and the calls to drain it."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from lupinlink.net.fleet import FleetContext
     from lupinlink.release.settings import ReleaseSettings
 log = logging.getLogger(__name__)
-WHO = "release"
-USE_S = 1.0  # the share of the core is looked at over so long at least
+DRAIN_REASON = "release"
+CPU_WINDOW_S = 1.0  # least time over which the CPU share is measured
 
 
 class ReleaseHost:
-    """``lupinlink.release.host.Host`` over the service."""
+    """Implements ``lupinlink.release.host.Host`` over the service."""
 
     def __init__(self, context: FleetContext) -> None:
         self._context = context
-        self._looked, self._used, self._use = time.monotonic(), time.process_time(), 0.0
+        self._cpu_checked_at, self._cpu_used_s, self._cpu_share = time.monotonic(), time.process_time(), 0.0
 
     @property
     def member(self) -> Member:
@@ -40,8 +40,8 @@
         return self.ready() and self._context.host.state is LifecycleState.IN_SERVICE
 
     def standby(self) -> bool:
-        """Only migrations want it out, and none has it serve: so it counts neither as out nor as in use."""
-        migration = self._context.made.get("migration")
+        """Whether only migrations keep it out, and none has it serve: it counts neither as out nor in use."""
+        migration = self._context.parts.get("migration")
         return self._context.wishes.only("migration") and bool(getattr(migration, "standby", False))
 
     def left(self) -> int:
@@ -49,19 +49,19 @@
         return here.connections + here.requests
 
     def use(self) -> float:
-        """This process's share of its one core, over a second at least; 1 at most."""
+        """The share of one core that this process uses, measured over a second or more; at most 1."""
         now, used = time.monotonic(), time.process_time()
-        if now - self._looked >= USE_S:
-            self._use = min(1.0, (used - self._used) / (now - self._looked))
-            self._looked, self._used = now, used
-        return self._use
+        if now - self._cpu_checked_at >= CPU_WINDOW_S:
+            self._cpu_share = min(1.0, (used - self._cpu_used_s) / (now - self._cpu_checked_at))
+            self._cpu_checked_at, self._cpu_used_s = now, used
+        return self._cpu_share
 
     def need(self) -> float:
         here = self._context.host.gauges()
         return here.use * here.servers_ready if here.use is not None else 0.0
 
     def figures(self) -> Figures:
-        """Of the clients' requests; ``served`` is in time, for what is late is answered as failed."""
+        """Counts of clients' requests; ``served`` are in time, since late ones are answered as failed."""
         count = self._context.host.gauges().counters.get
         return Figures(count("requests", 0), count("served", 0), count("refused", 0), count("failed", 0))
 
@@ -79,17 +79,17 @@
         return {name: Figures(*known[name]) for name in servers if name in known}
 
     def busy(self, servers: Iterable[str]) -> Sequence[str]:
-        held = self._context.host.busy()
+        held = self._context.host.busy_servers()
         return [name for name in servers if name in held]
 
     def drain(self) -> None:
-        self._context.wishes.want(WHO, out=True)
+        self._context.wishes.want(DRAIN_REASON, out=True)
 
     def in_service(self) -> bool:
-        return self._context.wishes.want(WHO, out=False)
+        return self._context.wishes.want(DRAIN_REASON, out=False)
 
     def end(self, version: str) -> None:
-        """What starts the next process of this name reads the version off the log or the door."""
+        """The starter of the next process of this name reads the version from the log or the API."""
         log.info("ends for a release", extra={"kv": {"version": version}})
         self._context.host.end()
 
@@ -98,13 +98,13 @@
 
 
 class Release(ReleaseAgent):
-    """The part; the service's own two calls to drain ask for a permit first."""
+    """The release part; the service's own calls to drain and to serve again go through it, for a permit."""
 
-    kept_out: Callable[[], bool]  # whether migrations want this proxy out
+    out_for_migration: Callable[[], bool]  # whether migrations keep this proxy out of service
 
     def _report(self) -> Report:
-        # Danger: else it is taken for drained before this process, and asks for a permit for good.
-        self._served = self._served or self.kept_out()
+        # Otherwise the proxy would count as drained since before this process, and ask for a permit forever.
+        self._served = self._served or self.out_for_migration()
         return super()._report()
 
     def calls(self) -> DoorCalls:
@@ -112,10 +112,10 @@
 
 
 def make(context: FleetContext, settings: ReleaseSettings) -> Release:
-    """The part. Its lead is that of the migrations as well."""
+    """Make the part; migrations share its leadership."""
     lock_delay_ms = context.settings.lock_delay_s * 1000.0
     host = ReleaseHost(context)
-    made = Release(
+    part = Release(
         context.agreement,
         context.clock,
         context.tenure,
@@ -124,8 +124,8 @@
         context.draw,
         "",
         lock_delay_ms,
-        context.run,
+        context.run_id,
     )
-    made.kept_out = lambda: context.wishes.wants("migration")
-    context.lead_by(made.lead)
-    return made
+    part.out_for_migration = lambda: context.wishes.wants("migration")
+    context.use_lead(part.lead)
+    return part
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -19,7 +19,7 @@
 from lupinlink.net.http1 import MAX_BODY
 from lupinlink.net.leavers import Leavers
 from lupinlink.net.listener_takeover import ListenerTakeover
-from lupinlink.net.loop_iterations import measure
+from lupinlink.net.loop_iterations import measure_iterations
 from lupinlink.net.management import MAX_BODY_BYTES, Handler, ManagementApi, connection_limit, yes_or_no
 from lupinlink.net.process import collect_garbage_by_timer, raise_descriptor_limit, resident_mb
 from lupinlink.net.twisted_types import Reactor
@@ -125,7 +125,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._on_stop)
         collect_garbage_by_timer(self._components.clock)
-        measure(self._reactor, self._components.clock.iterations)
+        measure_iterations(self._reactor, self._components.clock.iterations)
         if self._fleet_host is not None:
             self._fleet_host.start()
 
--- a/lupinlink/net/timer_wheel.py
+++ b/lupinlink/net/timer_wheel.py
@@ -1,4 +1,4 @@
-"""Timers as coarse ticks on a wheel, and the one reactor call that drives them and the deadlines."""
+"""A timer wheel for coarse timers, and the clock whose single reactor call drives it and the deadlines."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from lupinlink.net.twisted_types import Reactor
 
 log = logging.getLogger(__name__)
-TICK_MS = 5.0  # the tick of the simulator, under which the decisions were tuned
-WHEEL_SLOTS = 1024  # a turn of about 5 s; longer timers wait for their turn
+TICK_MS = 5.0  # equal to the tick of the simulator, for which the decision module is tuned
+WHEEL_SLOTS = 1024  # one revolution takes about 5 s; longer timers stay in their slot for several
 
 
 class Timer:
-    """One timer on the wheel; ``call`` is None once it was dropped."""
+    """A timer on the wheel; ``call`` is None once it was dropped."""
 
     __slots__ = ("call", "tick")
 
@@ -31,50 +31,50 @@
 
 
 class TimerWheel:
-    """Never early, at most one tick late."""
+    """A hashed timer wheel. Its timers fire never early and at most one tick late."""
 
     def __init__(self, now_ms: float) -> None:
-        self._spokes: list[list[Timer]] = [[] for _ in range(WHEEL_SLOTS)]
-        self._done = int(now_ms // TICK_MS)  # the last tick that was run
+        self._slots: list[list[Timer]] = [[] for _ in range(WHEEL_SLOTS)]
+        self._last_tick = int(now_ms // TICK_MS)  # the last one that was handled
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
     def add(self, at_ms: float, call: Callable[[], None]) -> Timer:
-        timer = Timer(max(self._done + 1, int(-(-at_ms // TICK_MS))), call)
-        self._spokes[timer.tick % WHEEL_SLOTS].append(timer)
+        timer = Timer(max(self._last_tick + 1, int(-(-at_ms // TICK_MS))), call)
+        self._slots[timer.tick % WHEEL_SLOTS].append(timer)
         self._count += 1
         return timer
 
     def next_at(self) -> float | None:
-        """The next tick that may have something: no more than a turn away."""
+        """The time of the next tick with timers in its slot, at most one revolution away; None: no timers."""
         if self._count:
-            for tick in range(self._done + 1, self._done + WHEEL_SLOTS + 1):
-                if self._spokes[tick % WHEEL_SLOTS]:
+            for tick in range(self._last_tick + 1, self._last_tick + WHEEL_SLOTS + 1):
+                if self._slots[tick % WHEEL_SLOTS]:
                     return tick * TICK_MS
         return None
 
     def due(self, now_ms: float) -> list[Callable[[], None]]:
-        """Take out what has come due; after a long gap each spoke is looked at once."""
+        """Remove and return the calls that are due; after a long gap each slot is visited once."""
         last = int(now_ms // TICK_MS)
         timers: list[Timer] = []
-        for tick in range(max(self._done + 1, last - WHEEL_SLOTS + 1), last + 1):
-            spoke = self._spokes[tick % WHEEL_SLOTS]
-            if spoke:
-                timers += [t for t in spoke if t.tick <= last]
-                self._spokes[tick % WHEEL_SLOTS] = [t for t in spoke if t.tick > last]
-        self._done = max(self._done, last)
+        for tick in range(max(self._last_tick + 1, last - WHEEL_SLOTS + 1), last + 1):
+            slot = self._slots[tick % WHEEL_SLOTS]
+            if slot:
+                timers += [t for t in slot if t.tick <= last]
+                self._slots[tick % WHEEL_SLOTS] = [t for t in slot if t.tick > last]
+        self._last_tick = max(self._last_tick, last)
         self._count -= len(timers)
         timers.sort(key=lambda t: t.tick)
         return [t.call for t in timers if t.call is not None]
 
 
 class ReactorClock:
-    """The clock, the deadlines and the wheel behind one reactor call.
+    """The clock, with deadlines and a timer wheel that one reactor call drives.
 
-    The clock is Unix time at the start plus monotonic time since: a wall clock that steps back must
-    not move deadlines or make a started server look cold again.
+    Its time is Unix time at the start plus the monotonic time since, so that a wall clock that steps back
+    does not move deadlines or make a running server look cold again.
     """
 
     def __init__(self, reactor: Reactor) -> None:
@@ -83,49 +83,49 @@
         self.deadlines = Deadlines()
         self.iterations = LoopIterations()
         self.timer_wheel = TimerWheel(self.now())
-        self._call: DelayedCall | None = None
-        self._call_at = 0.0
+        self._delayed_call: DelayedCall | None = None
+        self._delayed_call_ms = 0.0
 
     def now(self) -> float:
-        """Unix time in milliseconds that never steps back."""
+        """Unix time in milliseconds; it never steps back."""
         return self._offset + time.monotonic() * 1000.0
 
     def at(self, at_ms: float, call: Callable[[], None]) -> int:
-        """A deadline."""
+        """Add a deadline, at which ``call`` is made; returns its number for ``drop``."""
         number = self.deadlines.add(at_ms, call)
-        self._plan(at_ms)
+        self._schedule(at_ms)
         return number
 
     def drop(self, number: int) -> None:
-        """Forget a deadline."""
+        """Remove a deadline."""
         self.deadlines.drop(number)
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> Timer:
-        """A coarse timer."""
+        """Add a coarse timer, at most a tick late."""
         timer = self.timer_wheel.add(self.now() + delay_ms, call)
-        self._plan(timer.tick * TICK_MS)
+        self._schedule(timer.tick * TICK_MS)
         return timer
 
-    def _plan(self, at_ms: float) -> None:
-        if self._call is not None:
-            if self._call_at <= at_ms:
+    def _schedule(self, at_ms: float) -> None:
+        if self._delayed_call is not None:
+            if self._delayed_call_ms <= at_ms:
                 return
-            self._call.cancel()
-        self._call_at = at_ms
-        self._call = self._reactor.callLater(max(0.0, at_ms - self.now()) / 1000.0, self._run)
+            self._delayed_call.cancel()
+        self._delayed_call_ms = at_ms
+        self._delayed_call = self._reactor.callLater(max(0.0, at_ms - self.now()) / 1000.0, self._run)
 
     def _run_due(self) -> None:
         now = self.now()
         for call in self.deadlines.due(now) + self.timer_wheel.due(now):
             try:
                 call()
-            except Exception:  # one broken callback must not stop every timer of the program
+            except Exception:  # one failing callback must not stop all other timers
                 log.exception("timer failed")
 
     def _run(self) -> None:
-        self._call = None
+        self._delayed_call = None
         with self.iterations.step("timers"):
             self._run_due()
         times = [at for at in (self.deadlines.next_at(), self.timer_wheel.next_at()) if at is not None]
         if times:
-            self._plan(min(times))
+            self._schedule(min(times))
--- a/tests/scripted_extension.py
+++ b/tests/scripted_extension.py
@@ -1,7 +1,8 @@
-"""A proxy with a fleet side that does as its requests and door calls say; run as a program by the tests.
+"""A proxy with a fleet extension controlled by requests and management calls; run as a program by the tests.
 
-A request's ``X-Quota``: milliseconds to refuse it with, or ``broken``. The door's ``/control/fleet``: GET
-tells what is here as JSON, PUT does what ``do`` says (``names``: to withhold), POST gives its body back.
+A request's ``X-Quota`` is the Retry-After in milliseconds to refuse it with, or ``broken``. For
+``/control/fleet``, GET returns the host's state as JSON, PUT performs the action ``do`` (``names``: servers
+to withhold), and POST returns its body's length, last byte and query.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from lupinlink.settings import SettingsError, load_config
 
 
-class Side:
-    """FleetSide of the seam."""
+class ScriptedExtension:
+    """Implements FleetExtension."""
 
     def __init__(self) -> None:
         self._host: ExtensionHost | None = None
-        self._asked: list[str] = []
-        self._settled: list[str] = []
+        self._admission_checks: list[str] = []
+        self._finished: list[str] = []
 
     def started(self, host: ExtensionHost) -> None:
         self._host = host
@@ -37,10 +38,10 @@
         print(f"msg=stopping-told ends_soon={self._host.ends_soon}", file=sys.stderr, flush=True)
 
     def calls(self) -> DoorCalls:
-        return {"/control/fleet": {"GET": self._tell, "PUT": self._act, "POST": self._echo}}
+        return {"/control/fleet": {"GET": self._show, "PUT": self._act, "POST": self._echo}}
 
     def admits(self, call: Call) -> Refusal | None:
-        self._asked.append(call.identity)
+        self._admission_checks.append(call.identity)
         quota = next((value for name, value in call.headers if name == "X-Quota"), None)
         if quota == "broken":
             raise RuntimeError("the quota's fault")
@@ -48,34 +49,34 @@
 
     @property
     def settled(self) -> Callable[[Call], None]:
-        return lambda call: self._settled.append(f"{call.identity} {call.address}")
+        return lambda call: self._finished.append(f"{call.identity} {call.address}")
 
-    def _tell(self, ask: Ask) -> Answer:
+    def _show(self, ask: Ask) -> Answer:
         host = self._host
         assert host is not None
-        told = {
+        shown = {
             **asdict(host.gauges()), "name": host.name, "stand": host.state.value, "drained": host.drained,
-            "ready": host.ready, "ends_soon": host.ends_soon, "uses": dict(host.use()),
-            "outcomes": host.outcomes(), "held": sorted(host.busy()),
-            "servers": host.servers(), "asked": self._asked, "settled": self._settled,
+            "ready": host.ready, "ends_soon": host.ends_soon, "uses": dict(host.utilization()),
+            "outcomes": host.outcomes(), "held": sorted(host.busy_servers()),
+            "servers": host.servers(), "asked": self._admission_checks, "settled": self._finished,
         }  # fmt: skip
-        return Answer(200, json.dumps(told))
+        return Answer(200, json.dumps(shown))
 
     def _act(self, ask: Ask) -> Answer:
         host = self._host
         assert host is not None
-        what = ask.query.get("do", "")
-        if what == "drain":
+        action = ask.query.get("do", "")
+        if action == "drain":
             host.drain()
-        elif what == "in-service":
+        elif action == "in-service":
             return Answer(200 if host.in_service() else 409, "in service\n")
-        elif what == "end":
+        elif action == "end":
             host.end()
-        elif what == "withhold":
+        elif action == "withhold":
             host.withhold(frozenset(ask.query["names"].split()))
         else:
-            return Answer(422, f"do: {what!r} is none of drain, in-service, end, withhold")
-        return Answer(202, f"{what}\n")
+            return Answer(422, f"do: {action!r} is none of drain, in-service, end, withhold")
+        return Answer(202, f"{action}\n")
 
     def _echo(self, ask: Ask) -> Answer:
         return Answer(200, f"{len(ask.body)} {ask.body[-1:].decode()} {dict(ask.query)}\n")
@@ -84,7 +85,11 @@
 if __name__ == "__main__":
     try:
         sys.exit(
-            serve(load_config(os.environ, None), partial(load_config, os.environ, None, again=True), Side())
+            serve(
+                load_config(os.environ, None),
+                partial(load_config, os.environ, None, again=True),
+                ScriptedExtension(),
+            )
         )
     except SettingsError as exc:
         sys.exit(told_off(exc))
--- a/tests/test_loop_iterations.py
+++ b/tests/test_loop_iterations.py
@@ -1,14 +1,14 @@
-"""The longest turn of the event loop, as log and metrics tell it."""
+"""The longest iteration of the event loop, in the log and the gauges."""
 
 from __future__ import annotations
 
 import unittest
 
-from lupinlink.net.loop_iterations import LONG_ITERATION_MS, WINDOW_MS, LoopIterations, measure
+from lupinlink.net.loop_iterations import LONG_ITERATION_MS, WINDOW_MS, LoopIterations, measure_iterations
 
 
 class Poller:
-    """Waits in no time."""
+    """A poller that returns at once."""
 
     def poll(self, timeout: float, events: int) -> list[int]:
         return [events]
@@ -19,33 +19,33 @@
         self._poller = Poller()
 
 
-class LongestTurn(unittest.TestCase):
+class LongestIteration(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 0.0
         self.iterations = LoopIterations(lambda: self.now)
 
-    def turn(self, took_ms: float, discovery_ms: float = 0.0) -> None:
+    def run_iteration(self, took_ms: float, discovery_ms: float = 0.0) -> None:
         self.iterations.begin()
         with self.iterations.step("discovery"):
             self.now += discovery_ms
         self.now += took_ms - discovery_ms
         self.iterations.end()
 
-    # Guards against a loop that is held up and says nothing of it.
-    def test_a_long_turn_is_logged_once_a_window_with_what_took_most_of_it(self) -> None:
-        self.turn(LONG_ITERATION_MS, discovery_ms=LONG_ITERATION_MS - 10.0)
-        self.turn(LONG_ITERATION_MS - 1.0)
+    # Guards against an event loop that is held up without a log line.
+    def test_a_long_iteration_is_logged_once_a_window_with_its_longest_step(self) -> None:
+        self.run_iteration(LONG_ITERATION_MS, discovery_ms=LONG_ITERATION_MS - 10.0)
+        self.run_iteration(LONG_ITERATION_MS - 1.0)
         self.now += WINDOW_MS
         with self.assertLogs("lupinlink.net.loop_iterations", "WARNING") as logged:
-            self.turn(1.0)
+            self.run_iteration(1.0)
         self.assertEqual(len(logged.records), 1)
         kv = logged.records[0].__dict__["kv"]
         self.assertEqual((kv["longest_ms"], kv["mostly"], kv["long_turns"]), (100, "discovery", 1))
         self.assertEqual(self.iterations.gauges()["longest_turn_ever_ms"], 100)
 
-    def test_the_wait_of_the_reactor_is_no_part_of_a_turn(self) -> None:
+    def test_the_wait_of_the_reactor_is_no_part_of_an_iteration(self) -> None:
         reactor = ReactorWithPoller()
-        measure(reactor, self.iterations)
+        measure_iterations(reactor, self.iterations)
         self.assertEqual(reactor._poller.poll(1.0, 3), [3])
         self.now += 40.0
         reactor._poller.poll(1.0, 3)
