--- a/tests/many_backends.py
+++ b/tests/many_backends.py
@@ -13,14 +13,14 @@
 from tests.open_load import OpenLoad
 from tests.peers import chunk, row
 
-MANY = 3200
+MANY_BACKENDS = 3200
 PER_SECOND = 60.0  # requests at one process
 
 
 class ManyBackendsStage(FleetStage):
-    """The few backends of a fleet's tests, and so many more that share one listener."""
+    """The few backends of the fleet tests, and many more that share one listener."""
 
-    backends_listed: ClassVar[int] = MANY
+    backends_listed: ClassVar[int] = MANY_BACKENDS
     peers: ClassVar[int] = 6
 
     def setUp(self) -> None:
@@ -34,11 +34,11 @@
         return Backend()
 
     def more_row(self, number: int) -> dict[str, Any]:
-        """One of the many."""
+        """The row of one of the many backends."""
         return row(f"s-many-{number:04d}", self.shared_backend, pod_group=number % 40)
 
-    def one_process(self) -> Member:
-        """A proxy that has a watch and serves."""
+    def start_process(self) -> Member:
+        """Start a proxy, and wait until it has a watch and serves."""
         door = self.shared.door()
         member = self.spawn("n0", door)
         self.await_serving(member)
@@ -59,21 +59,23 @@
         return [receipt for backend in backends for receipt in list(backend.receipts)]
 
     def load(self, member: Member, seconds: float, **more: float) -> OpenLoad:
-        """Play the load, and judge that no request was lost."""
+        """Run the load, and assert that no request was lost."""
         load = OpenLoad(member.port, **{"per_second": PER_SECOND, **more})  # type: ignore[arg-type]
         load.play(seconds)
         self.process, self.log = member.process, member.log
         print(f"longest turn of the event loop: {self.gauges()['longest_turn_ever_ms']} ms")
-        self.judge_lost(load)
+        self.assert_none_lost(load)
         return load
 
-    def judge_lost(self, load: OpenLoad) -> None:
+    def assert_none_lost(self, load: OpenLoad) -> None:
         unanswered, late = load.unanswered(), load.sent_on_too_late(self.receipts())
         seen = f"{len(unanswered)} of {len(load.sent)} without an answer, {late=}, {load.statuses()}"
         self.assertTrue(not unanswered and not late, seen)
 
-    def whole_lists(self, seconds: float, per_second: float, indent: int | None = None) -> threading.Thread:
-        """From now on the whole list comes anew on each watch, so many times a second."""
+    def send_whole_lists(
+        self, seconds: float, per_second: float, indent: int | None = None
+    ) -> threading.Thread:
+        """Send the whole list on each watch ``per_second`` times a second, in a thread, for ``seconds``."""
 
         def write() -> None:
             until = time.monotonic() + seconds
--- a/tests/memory_net.py
+++ b/tests/memory_net.py
@@ -1,7 +1,7 @@
-"""Twisted's TCP in memory, on a virtual clock: for driving the real parts through scripts of faults.
+"""Twisted's TCP in memory, on a virtual clock, to run the real components through scripted faults.
 
-Two kinds of code run here. The world (peers) only ever changes links, at the exact virtual time; the program
-sees a change in its next reactor turn, or when it peeks. A pause of the process lets the world go on.
+Events of the environment (the peers) change links at their exact virtual time; the program sees a change in
+the next iteration of its reactor, or when it peeks. While the process is paused, the environment goes on.
 """
 # ruff: noqa: N802, N803
 
@@ -25,7 +25,7 @@
 
 
 class VirtualClock:
-    """The one clock in ms, the world's events on it, and the pauses of the process."""
+    """The clock, in milliseconds, with the events of the environment and the pauses of the process."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -34,20 +34,20 @@
         self._pauses: list[list[float]] = []
 
     def at(self, at_ms: float, event: Callable[[], None]) -> None:
-        """Have the world do something then, or at once if that is past."""
+        """Schedule an event of the environment, or run it at the next advance if its time is past."""
         heappush(self._events, (at_ms, next(self._number), event))
 
     def pause(self, at_ms: float, for_ms: float, reads: int) -> None:
-        """Hold the process up in the read of the clock that comes so many reads after ``at_ms``."""
+        """Pause the process in its ``reads``-th next read of the clock after ``at_ms``, counted from 0."""
         self._pauses.append([at_ms, for_ms, reads])
         self._pauses.sort()
 
     def next_at(self) -> float | None:
-        """When the world's next event falls."""
+        """The time of the environment's next event; None: there is none."""
         return self._events[0][0] if self._events else None
 
     def advance(self, to_ms: float) -> None:
-        """Move on; each event of the world finds the clock at its own time."""
+        """Move the time forward, and run each event of the environment at its own time."""
         while self._events and self._events[0][0] <= to_ms:
             at, _, event = heappop(self._events)
             self.now = max(self.now, at)
@@ -55,7 +55,7 @@
         self.now = max(self.now, to_ms)
 
     def monotonic(self) -> float:
-        """For the program, in seconds; it may be held up in here."""
+        """Monotonic time for the program, in seconds; a scheduled pause takes place in here."""
         if self._pauses and self._pauses[0][0] <= self.now:
             self._pauses[0][2] -= 1
             if self._pauses[0][2] < 0:
@@ -68,11 +68,11 @@
 
 
 class Link:
-    """One TCP connection as the world holds it; it is also the program's socket."""
+    """One TCP connection: the peer's end, and the program's socket."""
 
     def __init__(self) -> None:
-        self.up = self.refused = False  # of its dial; neither: still on its way
-        self.dead = False  # cut off: nothing passes any more, in either direction
+        self.up = self.refused = False  # result of the dial; neither: still pending
+        self.dead = False  # cut off: no bytes pass in either direction
         self.closed = False  # by the program
         self.received: Callable[[bytes], None] = lambda data: None
         self.on_read: Callable[[int], None] = lambda total: None
@@ -83,7 +83,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether bytes that the world writes reach the program."""
+        """Whether bytes that the peer writes reach the program."""
         return self.up and not (self.dead or self.closed or self._ended or self._was_reset)
 
     def put(self, data: bytes) -> None:
@@ -93,12 +93,12 @@
             self.written += len(data)
 
     def end(self) -> None:
-        """The peer ends its connection in order."""
+        """The peer closes its connection in order."""
         if not self.dead:
             self._ended = True
 
     def reset(self) -> None:
-        """The peer resets it."""
+        """The peer resets the connection."""
         if not self.dead:
             self._was_reset = True
             self._inbound.clear()
@@ -107,7 +107,7 @@
         return bool(self._inbound) or self._ended or self._was_reset
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """As a socket that does not block."""
+        """As a non-blocking socket."""
         if self._was_reset:
             raise ConnectionResetError
         if not self._inbound:
@@ -122,7 +122,7 @@
         return data
 
     def send(self, data: bytes) -> int:
-        """The program's bytes go to the peer at once, if the way is open."""
+        """Deliver the program's bytes to the peer at once, unless the link is closed or cut off."""
         if self._was_reset:
             raise ConnectionResetError
         if not (self.dead or self.closed):
@@ -139,7 +139,7 @@
 
 
 class MemoryTransport(FileDescriptor):
-    """A TCP connection of the program; what Twisted buffers, and calls of producers, are Twisted's own."""
+    """A TCP connection of the program; buffering and producers are those of Twisted itself."""
 
     def __init__(self, reactor: MemoryReactor, link: Link, protocol: Protocol) -> None:
         super().__init__(reactor)  # type: ignore[arg-type]
@@ -193,14 +193,14 @@
 
 
 class MemoryConnector:
-    """A connection on its way up."""
+    """A connection that is being established."""
 
     def __init__(self, reactor: MemoryReactor, factory: ClientFactory, link: Link) -> None:
         self._reactor, self._factory, self.link = reactor, factory, link
         self._transport: MemoryTransport | None = None
 
     def settle(self) -> None:
-        """Its dial has come to an end."""
+        """The dial has succeeded or was refused."""
         self._reactor.dials.remove(self)
         if self.link.refused:
             self._fail(error.ConnectionRefusedError())  # type: ignore[no-untyped-call]
--- a/tests/memory_reactor.py
+++ b/tests/memory_reactor.py
@@ -1,4 +1,4 @@
-"""The event loop over links in memory, turn by turn: timers that are due, then reads and writes."""
+"""An event loop over links in memory; each iteration runs due timers, then reads and writes."""
 # ruff: noqa: N802, N803
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class MemoryReactor:
-    """One process's reactor. A turn takes no virtual time; the drive jumps to whatever comes next."""
+    """The reactor of one process. An iteration takes no virtual time; the test moves the clock in between."""
 
     running = True
 
     def __init__(self, clock: VirtualClock, dial: Callable[[str, int], Link]) -> None:
         self._clock, self._dial = clock, dial
         self._calls: list[DelayedCall] = []
-        self._readers: dict[MemoryTransport, None] = {}  # in the order of their coming
+        self._readers: dict[MemoryTransport, None] = {}  # in order of registration
         self._writers: dict[MemoryTransport, None] = {}
         self.dials: list[MemoryConnector] = []
         self._links: list[Link] = []
@@ -57,11 +57,11 @@
         self._writers.pop(writer, None)
 
     def next_at(self) -> float | None:
-        """When the next timer falls, in ms."""
+        """The time of the next timer, in seconds."""
         return min((call.time for call in self._calls), default=None) if self._calls else None
 
     def turn(self) -> bool:
-        """One turn; whether anything was done in it."""
+        """Run one iteration; returns whether it did anything."""
         now = self.seconds()
         due = sorted((call for call in self._calls if call.time <= now), key=lambda call: call.time)
         for call in due:
@@ -90,7 +90,7 @@
             transport.connectionLost(Failure(why))  # type: ignore[no-untyped-call]
 
     def die(self) -> None:
-        """The process is gone: the kernel closes what it had."""
+        """The process ends: the kernel closes its connections."""
         self._calls.clear()
         for link in self._links:
             link.close()
--- a/tests/production_table.py
+++ b/tests/production_table.py
@@ -17,18 +17,18 @@
 
 from tests.answering_backend import AnsweringBackend
 from tests.drain_fleet import Member
-from tests.many_backends import MANY, ManyBackendsStage
+from tests.many_backends import MANY_BACKENDS, ManyBackendsStage
 from tests.open_load import OpenLoad
 
-USUAL = 200
+USUAL_BACKENDS = 200
 DEFAULTS = ("6", "30", "20")  # processes, requests a second of each, seconds
-TICKS = 100.0  # a second, of the times in /proc
+CLOCK_TICKS = 100.0  # per second, of the CPU times in /proc
 MEGABYTE = 1024.0 * 1024.0
 
 
 @dataclass
-class Needs:
-    """What one process needed in the mean."""
+class Usage:
+    """The mean usage of one process."""
 
     cpu_s: float = 0.0
     memory_mb: float = 0.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """At most ``times`` what is needed usually, so much more, and so much for each thousand backends."""
+    """The usual value times ``times``, plus ``more``, plus ``per_thousand`` for each thousand backends."""
 
     times: float
     more: float
@@ -57,16 +57,16 @@
     "connections": Bound(2.5, 40.0),
     "list_kb": Bound(2.0, 64.0, 500.0),
 }
-LEAST_SERVED = 0.85  # share of what is served usually
+MIN_SERVED = 0.85  # share of the usual number served
 
 
-class Day(ManyBackendsStage):
-    """The same traffic for so many backends."""
+class TrafficStage(ManyBackendsStage):
+    """Runs the same traffic with a given number of backends."""
 
     def shared_listener(self) -> Any:
         return AnsweringBackend()
 
-    def play(self, processes: int, per_second: float, seconds: float) -> Needs:
+    def play(self, processes: int, per_second: float, seconds: float) -> Usage:
         doors = [self.shared.door() for _ in range(processes)]
         members = [self.spawn(f"n{rank}", door, rank=rank) for rank, door in enumerate(doors)]
         self.await_serving(*members)
@@ -81,10 +81,10 @@
             if second % 4 == 3 and second < 15:
                 self.shared.drain(f"s-{second // 4}")
         clients.join()
-        return self.needs(members, before, loads)
+        return self.measure_usage(members, before, loads)
 
-    def needs(self, members: list[Member], before: list[float], loads: list[OpenLoad]) -> Needs:
-        found = Needs()
+    def measure_usage(self, members: list[Member], before: list[float], loads: list[OpenLoad]) -> Usage:
+        found = Usage()
         share = 1.0 / len(members)
         for member, cpu, load in zip(members, before, loads, strict=True):
             found.cpu_s += share * (cpu_s(member) - cpu)
@@ -101,26 +101,26 @@
 
 
 async def play_all(loads: list[OpenLoad], seconds: float) -> None:
-    """All clients in one event loop."""
+    """Run the loads of all clients in one event loop."""
     await asyncio.gather(*(load.play_here(seconds) for load in loads))
 
 
 def cpu_s(member: Member) -> float:
-    """Processor time so far."""
+    """CPU time of the process so far, in seconds."""
     fields = Path(f"/proc/{member.process.pid}/stat").read_text().rsplit(") ", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 def peak_mb(member: Member) -> float:
-    """The most that it has had in memory."""
+    """Peak resident memory of the process, in MiB."""
     status = Path(f"/proc/{member.process.pid}/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
     return int(line.split()[1]) / 1024.0
 
 
-def day(backends: int, processes: int, per_second: float, seconds: float) -> Needs:
-    """One play."""
-    stage = Day()
+def measure(backends: int, processes: int, per_second: float, seconds: float) -> Usage:
+    """Run the traffic once, and return the mean usage of a process."""
+    stage = TrafficStage()
     type(stage).backends_listed, type(stage).peers = backends, processes
     stage.setUp()
     try:
@@ -135,16 +135,16 @@
         print(f"production_table: {' '.join(words)!r} is not PROCESSES PER_SECOND SECONDS", file=sys.stderr)
         return 2
     processes, per_second, seconds = map(int, words)
-    usual = day(USUAL, processes, per_second, seconds)
-    many = day(MANY, processes, per_second, seconds)
+    usual = measure(USUAL_BACKENDS, processes, per_second, seconds)
+    many = measure(MANY_BACKENDS, processes, per_second, seconds)
     over = 0
     for name, bound in BOUNDS.items():
         least, most = getattr(usual, name), getattr(many, name)
-        allowed = bound.of(least, MANY)
+        allowed = bound.of(least, MANY_BACKENDS)
         over += most > allowed
         verdict = "OVER" if most > allowed else "ok"
         print(f"{name:12} {least:9.2f} {most:9.2f}  allowed {allowed:9.2f}  {verdict}")
-    poor = many.served < LEAST_SERVED * usual.served
+    poor = many.served < MIN_SERVED * usual.served
     print(f"served       {usual.served:9.3f} {many.served:9.3f}  {'UNDER' if poor else 'ok'}")
     return int(over > 0 or poor)
 
--- a/tests/recording_reactor.py
+++ b/tests/recording_reactor.py
@@ -1,4 +1,4 @@
-"""A reactor and a clock that only take down what they are asked: time passes when a test says so."""
+"""A reactor and clock that record dials and timers; a test moves the time forward."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RecordingReactor:
-    """A reactor and a clock that only take down what they are asked."""
+    """Records dials and timers; serves as reactor and as clock."""
 
     def __init__(self) -> None:
         self.dials: list[Watch] = []
@@ -33,7 +33,7 @@
         return self.timers[-1][1]
 
     def until(self, time: float) -> None:
-        """Let all timers that come due by then fire, in order."""
+        """Move the time forward, and fire the timers that come due, in order."""
         while self.timers and min(at for at, _ in self.timers) <= time:
             due = min(self.timers, key=lambda pair: pair[0])
             self.timers.remove(due)
--- a/tests/test_many_backends.py
+++ b/tests/test_many_backends.py
@@ -14,54 +14,54 @@
 from tests.many_backends import ManyBackendsStage
 from tests.peers import NEVER_RAN
 
-SERVED_LEAST = 0.85  # share, of what is served while no list comes
+MIN_SERVED = 0.85  # as a share of all answers
 
 
-class ListsAnew(ManyBackendsStage):
-    # Guards against a long list that keeps the event loop from requests for as long as it is read.
+class WholeLists(ManyBackendsStage):
+    # Guards against a long list whose parsing blocks the event loop.
     def test_whole_lists_twice_a_second_leave_requests_served(self) -> None:
-        member = self.one_process()
-        self.whole_lists(7.0, 2.0)
+        member = self.start_process()
+        self.send_whole_lists(7.0, 2.0)
         statuses = self.load(member, 6.0).statuses()
-        self.assertGreaterEqual(statuses[200], SERVED_LEAST * statuses.total(), statuses)
+        self.assertGreaterEqual(statuses[200], MIN_SERVED * statuses.total(), statuses)
 
     # Guards against the same with each entry over several lines.
     def test_indented_lists_twice_a_second_leave_requests_served(self) -> None:
-        member = self.one_process()
-        self.whole_lists(7.0, 2.0, indent=1)
+        member = self.start_process()
+        self.send_whole_lists(7.0, 2.0, indent=1)
         statuses = self.load(member, 6.0).statuses()
-        self.assertGreaterEqual(statuses[200], SERVED_LEAST * statuses.total(), statuses)
+        self.assertGreaterEqual(statuses[200], MIN_SERVED * statuses.total(), statuses)
 
 
 class HeldRequests(ManyBackendsStage):
-    # Guards against requests without an answer because each that waits asks every backend again and again.
+    # Guards against held requests that poll every backend repeatedly, so that answers come too late.
     def test_a_hold_of_five_seconds_answers_every_request(self) -> None:
-        member = self.one_process()
+        member = self.start_process()
         member.doors[0].script = deque((Reply(delay_s=5.0), Reply(delay_s=5.0), Reply(delay_s=5.0)))
         self.shared.end_watches()
         self.load(member, 8.0)
 
 
-class SickBackends(ManyBackendsStage):
-    """None of them serves; each request gets its final answer all the same, and none is sent on too late."""
+class FailingBackends(ManyBackendsStage):
+    """No backend serves; still each request gets its final answer, and none is forwarded too late."""
 
-    def sick(self, answer: bytes | None) -> None:
-        member = self.one_process()
+    def run_with_answer(self, answer: bytes | None) -> None:
+        member = self.start_process()
         for backend in (self.shared_backend, *self.backends.values()):
             backend.answer = answer
         self.load(member, 5.0)
 
-    # Guards against requests that look for a free backend until the event loop stands still.
+    # Guards against requests that block the event loop with their search for a free backend.
     def test_all_are_full(self) -> None:
-        self.sick(NEVER_RAN)
+        self.run_with_answer(NEVER_RAN)
 
-    # Guards against the same with attempts that are called off one after another.
+    # Guards against the same with attempts that are cancelled one after another.
     def test_all_hang(self) -> None:
-        self.sick(None)
+        self.run_with_answer(None)
 
-    # Guards against the same with ejections by the hundred.
+    # Guards against the same with hundreds of ejections.
     def test_all_reset(self) -> None:
-        self.sick(b"")
+        self.run_with_answer(b"")
 
 
 class ColdBackends(ManyBackendsStage):
@@ -70,15 +70,15 @@
     def more_row(self, number: int) -> dict[str, Any]:
         return {**super().more_row(number), "boot_ms": int(time.time() * 1000)}
 
-    # Guards against requests that ask every backend for a token.
+    # Guards against requests that try the token bucket of every backend.
     def test_requests_before_cold_backends_get_their_answers(self) -> None:
-        self.load(self.one_process(), 5.0)
+        self.load(self.start_process(), 5.0)
 
 
-class Moves(ManyBackendsStage):
-    # Guards against a new discovery's list that keeps requests from their answers.
-    def test_new_configurations_in_a_row_lose_no_request(self) -> None:
-        member = self.one_process()
+class DiscoveryMoves(ManyBackendsStage):
+    # Guards against a new discovery's list whose processing delays answers.
+    def test_repeated_reloads_lose_no_request(self) -> None:
+        member = self.start_process()
         doors = [self.shared.door() for _ in range(3)]
 
         def reload() -> None:
--- a/tests/test_memory_net.py
+++ b/tests/test_memory_net.py
@@ -1,4 +1,4 @@
-"""The reactor and the TCP in memory, by themselves: that they do as Twisted and the kernel do."""
+"""The reactor and TCP in memory behave as Twisted and the kernel do."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from tests.memory_reactor import MemoryReactor
 
 
-class Taking(Protocol):
-    """Takes down what it is told."""
+class RecordingProtocol(Protocol):
+    """Records received data and the end of the connection."""
 
     transport: Any
 
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.received: list[object] = []
 
     def dataReceived(self, data: bytes) -> None:
-        self.told.append(data)
+        self.received.append(data)
 
     def connectionLost(self, reason: Failure = None) -> None:  # type: ignore[assignment]
-        self.told.append(type(reason.value).__name__)
+        self.received.append(type(reason.value).__name__)
 
 
-class Memory(unittest.TestCase):
+class MemoryConnections(unittest.TestCase):
     def setUp(self) -> None:
-        self.link, self.protocol, self.taken = Link(), Taking(), list[bytes]()
-        self.link.received, self.link.up = self.taken.append, True
+        self.link, self.protocol, self.sent = Link(), RecordingProtocol(), list[bytes]()
+        self.link.received, self.link.up = self.sent.append, True
         self.reactor = MemoryReactor(VirtualClock(), lambda host, port: self.link)
         factory = ClientFactory()
         factory.buildProtocol = lambda addr: self.protocol  # type: ignore[method-assign]
         self.reactor.connectTCP("10.0.0.1", 1, factory)
         self.reactor.turn()
 
-    def test_what_is_written_goes_out_in_the_next_turn_or_at_once_when_told(self) -> None:
+    def test_data_is_written_in_the_next_iteration_or_by_a_call(self) -> None:
         self.protocol.transport.write(b"a")
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.sent, [])
         self.reactor.turn()
-        self.assertEqual(self.taken, [b"a"])
+        self.assertEqual(self.sent, [b"a"])
         self.protocol.transport.write(b"b")
         self.protocol.transport.doWrite()
-        self.assertEqual(self.taken, [b"a", b"b"])
+        self.assertEqual(self.sent, [b"a", b"b"])
         self.assertFalse(self.reactor.turn())
 
-    def test_a_pull_producer_is_asked_at_once_and_again_once_all_is_out(self) -> None:
+    def test_a_pull_producer_is_resumed_at_once_and_again_after_the_write(self) -> None:
         asked = list[int]()
 
         class Producer:
@@ -67,36 +67,36 @@
         self.reactor.turn()
         self.assertEqual(asked, [0, 1, -1])
 
-    def test_a_peek_takes_nothing_and_a_read_may_come_before_the_turn(self) -> None:
+    def test_a_peek_consumes_nothing_and_a_read_may_precede_the_iteration(self) -> None:
         handle = self.protocol.transport.getHandle()
         with self.assertRaises(BlockingIOError):
             handle.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         self.link.put(b"abc")
         self.assertEqual(handle.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT), b"a")
-        self.assertEqual(self.protocol.told, [])
+        self.assertEqual(self.protocol.received, [])
         self.protocol.transport.doRead()
-        self.assertEqual(self.protocol.told, [b"abc"])
+        self.assertEqual(self.protocol.received, [b"abc"])
         self.link.end()
         self.assertEqual(handle.recv(1, socket.MSG_PEEK), b"")
         self.reactor.turn()
-        self.assertEqual(self.protocol.told, [b"abc", "ConnectionDone"])
+        self.assertEqual(self.protocol.received, [b"abc", "ConnectionDone"])
         self.assertTrue(self.link.closed)
 
     def test_a_reset_discards_what_lies_unread(self) -> None:
         self.link.put(b"abc")
         self.link.reset()
         self.reactor.turn()
-        self.assertEqual(self.protocol.told, ["ConnectionLost"])
+        self.assertEqual(self.protocol.received, ["ConnectionLost"])
 
     def test_an_abort_ends_it_a_turn_later_and_nothing_more_is_read_or_written(self) -> None:
         self.protocol.transport.write(b"a")
         self.protocol.transport.abortConnection()
         self.link.put(b"abc")
-        self.assertEqual(self.protocol.told, [])
+        self.assertEqual(self.protocol.received, [])
         self.reactor.turn()
-        self.assertEqual((self.protocol.told, self.taken), (["ConnectionAborted"], []))
+        self.assertEqual((self.protocol.received, self.sent), (["ConnectionAborted"], []))
 
-    def test_a_pause_in_a_read_of_the_clock_lets_the_world_go_on(self) -> None:
+    def test_during_a_pause_in_a_clock_read_the_environment_goes_on(self) -> None:
         clock, done = VirtualClock(), list[float]()
         clock.at(50.0, lambda: done.append(clock.now))
         clock.pause(0.0, 100.0, 1)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""What operators do to a running proxy: the door, the drain, and the state behind both."""
+"""Operation of a running proxy: the management API, drains, and the lifecycle behind them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import unittest
 from typing import Any, ClassVar
 
-from lupinlink.lab.operations import Operated as Played
+from lupinlink.lab.operations import Operated as OperationResult
 from lupinlink.lab.operations import operate
 from lupinlink.net.lifecycle import (
     DRAIN_IDLE_MS,
@@ -21,92 +21,102 @@
 from tests.stage import OK, WAIT, ApplicationServer, Stage, row
 
 
-class States(unittest.TestCase):
+class LifecycleStates(unittest.TestCase):
     def setUp(self) -> None:
-        self.of = Lifecycle()
-        self.of.settle_list()
+        self.lifecycle = Lifecycle()
+        self.lifecycle.settle_list()
 
-    def test_a_new_process_is_sent_nobody_until_its_list_is_settled(self) -> None:
+    def test_a_new_process_gets_no_clients_until_its_list_is_settled(self) -> None:
         new = Lifecycle()
         new.serve()
         self.assertEqual((new.up(1), new.ready(1), new.keeps_connections()), (False, True, True))
         new.settle_list()
         self.assertEqual((new.up(1), new.ready(1)), (True, True))
 
-    def test_nothing_is_promised_before_the_listener_stands_or_without_servers(self) -> None:
+    def test_not_up_or_ready_before_listening_or_without_servers(self) -> None:
         self.assertEqual(
-            (self.of.up(1), self.of.ready(1), self.of.state), (False, False, LifecycleState.STARTING)
+            (self.lifecycle.up(1), self.lifecycle.ready(1), self.lifecycle.state),
+            (False, False, LifecycleState.STARTING),
         )
-        self.of.serve()
-        self.assertEqual((self.of.up(1), self.of.ready(1)), (True, True))
-        self.assertEqual((self.of.up(0), self.of.ready(0)), (False, False))
-
-    def test_a_drain_counts_from_its_first_call_and_ends_at_once(self) -> None:
-        self.of.serve()
-        self.of.out_of_service(1000.0)
-        self.of.out_of_service(9000.0)
-        self.assertEqual((self.of.up(1), self.of.ready(1), self.of.keeps_connections()), (False, True, False))
-        self.assertEqual(self.of.close_idle_from(), 1000.0 + DRAIN_IDLE_MS)
-        self.assertFalse(self.of.may_exit(1e9, 0))
-        self.of.in_service()
-        self.of.in_service()
+        self.lifecycle.serve()
+        self.assertEqual((self.lifecycle.up(1), self.lifecycle.ready(1)), (True, True))
+        self.assertEqual((self.lifecycle.up(0), self.lifecycle.ready(0)), (False, False))
+
+    def test_a_drain_is_timed_from_its_first_call_and_ends_at_once(self) -> None:
+        self.lifecycle.serve()
+        self.lifecycle.out_of_service(1000.0)
+        self.lifecycle.out_of_service(9000.0)
         self.assertEqual(
-            (self.of.up(1), self.of.keeps_connections(), self.of.state),
+            (self.lifecycle.up(1), self.lifecycle.ready(1), self.lifecycle.keeps_connections()),
+            (False, True, False),
+        )
+        self.assertEqual(self.lifecycle.close_idle_from(), 1000.0 + DRAIN_IDLE_MS)
+        self.assertFalse(self.lifecycle.may_exit(1e9, 0))
+        self.lifecycle.in_service()
+        self.lifecycle.in_service()
+        self.assertEqual(
+            (self.lifecycle.up(1), self.lifecycle.keeps_connections(), self.lifecycle.state),
             (True, True, LifecycleState.IN_SERVICE),
         )
 
-    def test_a_stop_outweighs_a_drain_and_only_the_first_one_counts(self) -> None:
-        self.of.serve()
-        self.of.out_of_service(0.0)
-        self.of.stop(100.0)
-        self.of.stop(5000.0)
-        self.of.in_service()
+    def test_a_stop_takes_precedence_over_a_drain_and_only_the_first_one_counts(self) -> None:
+        self.lifecycle.serve()
+        self.lifecycle.out_of_service(0.0)
+        self.lifecycle.stop(100.0)
+        self.lifecycle.stop(5000.0)
+        self.lifecycle.in_service()
         self.assertEqual(
-            (self.of.up(1), self.of.ready(1), self.of.state), (False, False, LifecycleState.STOPPING)
+            (self.lifecycle.up(1), self.lifecycle.ready(1), self.lifecycle.state),
+            (False, False, LifecycleState.STOPPING),
         )
-        self.assertEqual(self.of.close_idle_from(), 100.0 + STOP_IDLE_MS)
-        self.assertEqual([self.of.must_answer_now(100.0 + t) for t in (3399.0, 3400.0)], [False, True])
+        self.assertEqual(self.lifecycle.close_idle_from(), 100.0 + STOP_IDLE_MS)
+        self.assertEqual([self.lifecycle.must_answer_now(100.0 + t) for t in (3399.0, 3400.0)], [False, True])
         at = [(STOP_STAY_MS - 1.0, 0), (STOP_STAY_MS, 1), (STOP_STAY_MS, 0), (3600.0, 1)]
-        self.assertEqual([self.of.may_exit(100.0 + t, left) for t, left in at], [False, False, True, True])
+        self.assertEqual(
+            [self.lifecycle.may_exit(100.0 + t, left) for t, left in at], [False, False, True, True]
+        )
 
-    def test_with_a_successor_nobody_waits_for_newcomers_and_rests_run_out(self) -> None:
-        self.of.serve()
-        self.of.hand_over(0.0)
+    def test_with_a_successor_idle_connections_may_reach_their_limit(self) -> None:
+        self.lifecycle.serve()
+        self.lifecycle.hand_over(0.0)
         self.assertEqual(
-            (self.of.up(1), self.of.keeps_connections(), self.of.may_exit(1.0, 0)), (True, False, False)
+            (self.lifecycle.up(1), self.lifecycle.keeps_connections(), self.lifecycle.may_exit(1.0, 0)),
+            (True, False, False),
         )
-        self.of.stop(10.0)
-        self.assertEqual(self.of.close_idle_from(), 10.0 + HANDED_OVER_IDLE_MS)
-        self.assertEqual([self.of.may_exit(11.0, left) for left in (1, 0)], [False, True])
-        self.of.cancel_handover()
-        self.assertFalse(self.of.may_exit(11.0, 0))
+        self.lifecycle.stop(10.0)
+        self.assertEqual(self.lifecycle.close_idle_from(), 10.0 + HANDED_OVER_IDLE_MS)
+        self.assertEqual([self.lifecycle.may_exit(11.0, left) for left in (1, 0)], [False, True])
+        self.lifecycle.cancel_handover()
+        self.assertFalse(self.lifecycle.may_exit(11.0, 0))
 
 
-class UnderLoad(unittest.TestCase):
-    """A few rounds of what ``lupinlink lab operate`` plays by the dozen."""
+class OperationsUnderLoad(unittest.TestCase):
+    """A few rounds of the operations that ``lupinlink lab operate`` repeats many times."""
 
-    def play(self, kind: str, times: int, crowd: int = 0, memory_mb: float = 80.0) -> Played:
-        found = operate(kind, times, 100.0, crowd, 192, memory_mb, 1)
+    def run_operation(
+        self, kind: str, times: int, idle_connections: int = 0, memory_mb: float = 80.0
+    ) -> OperationResult:
+        found = operate(kind, times, 100.0, idle_connections, 192, memory_mb, 1)
         self.assertTrue(found.sound, found)
         self.assertEqual((found.rounds, found.answers), (times, {"200": found.sent}))
         self.assertLessEqual(found.descriptors, 192)
         return found
 
-    def test_upgrades_lose_nothing_and_both_processes_keep_the_limits(self) -> None:
-        self.assertLess(self.play("upgrade", 4).memory_mb, 60.0)
+    def test_upgrades_lose_no_request_and_both_processes_keep_the_limits(self) -> None:
+        self.assertLess(self.run_operation("upgrade", 4).memory_mb, 60.0)
 
-    def test_a_drain_loses_nothing_and_leaves_nobody(self) -> None:
-        self.play("drain", 1)
+    def test_a_drain_loses_no_request_and_leaves_no_connection(self) -> None:
+        self.run_operation("drain", 1)
 
-    def test_a_restart_in_a_crowd_of_silent_connections_loses_nothing(self) -> None:
-        self.play("restart", 2, crowd=300, memory_mb=40.0)
+    def test_a_restart_with_many_silent_connections_loses_no_request(self) -> None:
+        self.run_operation("restart", 2, idle_connections=300, memory_mb=40.0)
 
     def test_bodies_of_32_mb_at_once_stay_within_the_memory(self) -> None:
-        self.assertLess(self.play("bulk", 1, memory_mb=48.0).memory_mb, 48.0)
+        self.assertLess(self.run_operation("bulk", 1, memory_mb=48.0).memory_mb, 48.0)
 
 
-class Operated(Stage):
-    """A proxy with a door, and calls on it."""
+class ManagedProxy(Stage):
+    """A proxy with a management API and one application server."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -114,10 +124,10 @@
         self.start(row("s-1", self.server), env={"LB_MGMT": "127.0.0.1:0"})
 
 
-class Door(Operated):
+class ManagementApi(ManagedProxy):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 128}
 
-    def test_the_calls_and_what_is_none(self) -> None:
+    def test_the_calls_and_what_is_not_one(self) -> None:
         cases = [("GET", "/control/ready", 200), ("PUT", "/control/out-of-service", 200),
                  ("PUT", "/control/out-of-service", 200), ("PUT", "/control/in-service", 200),
                  ("PUT", "/control/in-service", 200), ("GET", "/control/nothing", 404), ("GET", "/up", 404),
@@ -129,9 +139,9 @@
             self.assertTrue(self.raw(noise, self.door).startswith(b"HTTP/1.1 400 "), noise)
         self.assertEqual(self.ask().read(), b"ok")
 
-    def test_a_full_proxy_and_dozens_of_silent_callers_keep_no_call_waiting(self) -> None:
+    def test_a_full_proxy_and_many_silent_callers_delay_no_call(self) -> None:
         self.server.answer = lambda headers: None
-        for _ in range(60):  # beyond the cap, each with a request that is open
+        for _ in range(60):  # more than the limit, each with an open request
             self.send(self.client(), ms=2000)
         silent = [socket.create_connection(("127.0.0.1", self.door), WAIT) for _ in range(40)]
         for _ in range(5):
@@ -142,14 +152,14 @@
         for connection in silent:
             connection.close()
 
-    def test_a_caller_that_takes_its_time_is_still_answered(self) -> None:
+    def test_a_slow_caller_is_still_answered(self) -> None:
         with socket.create_connection(("127.0.0.1", self.door), WAIT) as slow:
             for piece in (b"GET /control/ready HT", b"TP/1.1\r\nHost: x\r\n\r\n"):
-                self.assertEqual(self.call("GET", "/control/ready"), 200)  # others do not wait for it
+                self.assertEqual(self.call("GET", "/control/ready"), 200)  # other calls do not wait for it
                 slow.sendall(piece)
             self.assertTrue(slow.recv(4096).startswith(b"HTTP/1.1 200 "))
 
-    def test_an_address_that_cannot_be_used_is_one_line_and_no_start(self) -> None:
+    def test_an_unusable_address_prevents_the_start_with_one_line(self) -> None:
         for mgmt, said in ((f"127.0.0.1:{self.door}", "mgmt: 127.0.0.1"), ("here", "mgmt: 'here' is not")):
             process = self.program({**self.config(), "mgmt": mgmt})
             err = process.communicate(timeout=WAIT)[1]
@@ -157,8 +167,8 @@
             self.assertIn(said, err.splitlines()[-1])
 
 
-class Drain(Operated):
-    def test_kept_connections_end_and_nothing_is_lost(self) -> None:
+class Drain(ManagedProxy):
+    def test_kept_connections_end_and_no_request_is_lost(self) -> None:
         idle, busy = self.client(), self.client()
         for client in (idle, busy):
             self.assertEqual(self.ask(client).read(), b"ok")
@@ -169,7 +179,7 @@
         self.assertEqual(self.call("PUT", "/control/out-of-service"), 200)
         self.assertEqual((self.up(), self.call("GET", "/control/ready")), (503, 200))
         self.server.answer = lambda headers: OK
-        late = self.ask()  # the front goes on for a moment
+        late = self.ask()  # the front still sends connections for a moment
         self.assertEqual((late.status, late.headers["Connection"]), (200, "close"))
         assert idle.sock is not None
         self.assertEqual(idle.sock.recv(1), b"")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration under the running program, and the watch that moves with it."""
+"""Reload of the configuration, and the move of the discovery watch that follows."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Moving(Stage):
-    """One discovery that is watched, and another one to move to."""
+    """A proxy that watches one discovery server, and a second one to move to."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -29,8 +29,8 @@
 
 
 class Reload(Moving):
-    def test_the_files_discovery_goes_before_the_one_of_the_start_and_its_whole_list_counts(self) -> None:
-        # Its versions start anew: 3 comes after 41, and what it does not list is gone.
+    def test_the_discovery_of_the_file_replaces_the_first_one_and_its_list(self) -> None:
+        # The new discovery counts its own versions (3 follows 41); servers that it does not list are removed.
         self.replace(limits={**self.limits, "sockets": 300})
         self.assertIn("needs_restart=sockets", self.line("msg=reloaded"))
         self.assertEqual(self.later.asked.get(timeout=WAIT), "GET /discovery/hosts HTTP/1.1")
@@ -41,7 +41,7 @@
             self.assertEqual(self.ask().read(), b"ok")
         self.assertEqual((self.old.seen.qsize(), self.new.seen.qsize()), (0, 10))
 
-    def test_the_old_watch_is_heard_until_the_new_one_speaks(self) -> None:
+    def test_the_old_watch_is_used_until_the_new_one_answers(self) -> None:
         self.later.list = None  # silent
         self.replace()
         self.later.asked.get(timeout=WAIT)
@@ -52,9 +52,11 @@
         self.assertEqual(self.ask().read(), b"ok")
         self.assertEqual(self.new.seen.qsize(), 1)
         self.later.list = listing(3, True, row("s-2", self.new))
-        self.discovery.ends.get(timeout=WAIT)  # asked again after the silence, the new one has spoken
+        self.discovery.ends.get(
+            timeout=WAIT
+        )  # the new discovery answers when it is asked again, and the old watch ends
 
-    def test_a_bad_file_changes_nothing_and_signals_may_come_in_numbers(self) -> None:
+    def test_a_bad_file_changes_nothing_and_signals_may_repeat(self) -> None:
         for bad in ("{", "", '{"listen":"127.0.0.1:1","discovery":"nowhere"}'):
             self.replace(bad)
             self.line('msg="reload failed"')
@@ -69,11 +71,11 @@
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
-class LittleMemory(Stage):
+class LeastMemory(Stage):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 256}
 
-    def test_it_serves_within_the_least_memory_that_proxies_have(self) -> None:
-        # It took 64 MB for granted, refused to start with less, and so was a crash from the first second.
+    def test_a_proxy_serves_within_the_least_memory(self) -> None:
+        # Guards against a start that needs 64 MB and otherwise exits at once.
         server = self.peer(ApplicationServer())
         self.start(row("s-1", server))
         clients = [self.client() for _ in range(80)]
