--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -125,7 +125,7 @@
                 )
         if listening is None:
             listening = Listener(port, self._clients, BACKLOG, host, self._reactor)  # type: ignore[arg-type]
-            if self._config.folder:
+            if self._config.handover_dir:
                 listening.share()
         try:
             listening.startListening()
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -9,8 +9,8 @@
 
 from lupinlink.brain.dispatching import MAX_SCANNED_PER_INTERVAL, SCAN_INTERVAL_MS
 from lupinlink.brain.server_selection import MAX_DRAWS
-from lupinlink.interface import DiscoveryWatchEnded, Endpoint, Scope, Settings, Status
-from lupinlink.spread.weighted_buckets import MOST_IN_BUCKET
+from lupinlink.interface import DedupScope, DiscoveryWatchEnded, Endpoint, Settings, Status
+from lupinlink.spread.weighted_buckets import MAX_MEAN_BUCKET_SIZE
 from tests.counted_servers import CountedNodeHarness, reads_of
 from tests.helpers import KEYED, SAFE, NodeHarness, sends
 
@@ -57,7 +57,7 @@
     # Guards against held requests that each ask every backend at every look.
     def test_requests_that_wait_for_discovery(self) -> None:
         def hold(harness: CountedNodeHarness) -> None:
-            harness.handle(DiscoveryWatchEnded(heard_at=harness.now, silent=False))
+            harness.handle(DiscoveryWatchEnded(last_activity_at=harness.now, timed_out=False))
             harness.advance_to(harness.now + 500.0)
             self.assertTrue(harness.node.list_holds(harness.now))
 
@@ -104,7 +104,9 @@
 
     # Guards against looking through all backends for each of many requests that none of them may have.
     def test_requests_that_no_free_backend_may_have(self) -> None:
-        zone_wide = replace(KEYED, scope=Scope.ZONE, dedup_ms=5000.0, deadline_ms=3000.0, aim_ms=3000.0)
+        zone_wide = replace(
+            KEYED, scope=DedupScope.ZONE, dedup_ms=5000.0, deadline_ms=3000.0, target_latency_ms=3000.0
+        )
         harness = NodeHarness(Settings(classes=(zone_wide,), peers=6, max_attempts=3), "")
         lost = [Endpoint(f"lost-{i}", zone=1) for i in range(8)]
         harness.discover(lost)
@@ -119,7 +121,7 @@
         self.assertEqual(len(harness.node.waiting), WAITING)
         self.assertLess(
             asked.call_count,
-            (looks + 1) * (MAX_SCANNED_PER_INTERVAL + 2 * MOST_IN_BUCKET + WAITING * MAX_DRAWS),
+            (looks + 1) * (MAX_SCANNED_PER_INTERVAL + 2 * MAX_MEAN_BUCKET_SIZE + WAITING * MAX_DRAWS),
         )
 
 
