--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -73,9 +73,9 @@
 
     def _connect_to_predecessor(self) -> socket.socket | None:
         """A connection to the process that serves at our address, if there is one."""
-        if not self._config.folder or not self._config.listen[1]:
+        if not self._config.handover_dir or not self._config.listen[1]:
             return None
-        path = socket_path(self._config.folder, self._config.listen)
+        path = socket_path(self._config.handover_dir, self._config.listen)
         self._successor_listener = SuccessorListener(self._reactor, path, self._on_successor_connected)
         return connect(path)
 
--- a/tests/scripted_extension.py
+++ b/tests/scripted_extension.py
@@ -87,7 +87,7 @@
         sys.exit(
             serve(
                 load_config(os.environ, None),
-                partial(load_config, os.environ, None, again=True),
+                partial(load_config, os.environ, None, reload=True),
                 ScriptedExtension(),
             )
         )
