--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -120,9 +120,7 @@
             except OSError:
                 os.close(descriptor)  # not a socket
             if listening is None:
-                log.warning(
-                    "descriptor from the old process does not listen at our address; opening a socket"
-                )
+                log.warning("what was handed over does not listen here")
         if listening is None:
             listening = Listener(port, self._clients, BACKLOG, host, self._reactor)  # type: ignore[arg-type]
             if self._config.handover_dir:
@@ -146,7 +144,7 @@
             try:
                 self._discovery_client.start(known)
             except ListError as exc:
-                log.warning("list from the old process not used", extra={"kv": {"why": exc}})
+                log.warning("list of the old process not used", extra={"kv": {"why": exc}})
         if self._upgrade.busy:
             self._assume_full_predecessor()
         self._serve_when_ready()
