--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -28,12 +28,12 @@
 from lupinlink.coordination.tenure import Tenure
 from lupinlink.coordination.wire import Wire
 from lupinlink.errors import LupinError
+from lupinlink.net.drain_reasons import DrainReasons
 from lupinlink.net.fleet_extension import ExtensionHost, Refusal
 from lupinlink.net.timer_wheel import ReactorClock
-from lupinlink.net.wishes import Wishes
 
 if TYPE_CHECKING:
-    from lupinlink.net.terms import Call
+    from lupinlink.net.request_types import ClientRequest
     from lupinlink.net.twisted_types import Reactor
     from lupinlink.settings import Config
 
@@ -49,12 +49,12 @@
 class AdmissionControl(Protocol):
     """A part that may refuse calls; at most one part does."""
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         """As ``FleetSide.admits``."""
         ...
 
     @property
-    def settled(self) -> Callable[[Call], None] | None:
+    def settled(self) -> Callable[[ClientRequest], None] | None:
         """As ``FleetSide.settled``."""
         ...
 
@@ -88,7 +88,7 @@
     def wishes(self) -> Wishes:
         """The reasons to keep this proxy out of service; parts drain it, or end a drain, only by these."""
         if self._wishes is None:
-            self._wishes = Wishes(self.host.drain, self.host.in_service)
+            self._wishes = DrainReasons(self.host.drain, self.host.in_service)
         return self._wishes
 
     def lead(self) -> Lead:
--- a/lupinlink/net/fleet_extension.py
+++ b/lupinlink/net/fleet_extension.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from lupinlink.coordination.part import DoorCalls
     from lupinlink.net.lifecycle import LifecycleState
-    from lupinlink.net.terms import Call
+    from lupinlink.net.request_types import ClientRequest
     from lupinlink.net.timer_wheel import ReactorClock
     from lupinlink.net.twisted_types import Reactor
     from lupinlink.settings import Settings
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -145,7 +145,7 @@
             except Exception:  # the process stops even if the extension fails to
                 log.exception("fleet failed to stop")
 
-    def _admits(self, call: Call) -> float | None:
+    def _admits(self, call: ClientRequest) -> float | None:
         refusal = self._fleet.admits(call)
         return refusal.retry_after_ms if refusal is not None else None
 
@@ -184,7 +184,7 @@
         """Answer every open request now and close idle connections; returns the number of connections."""
         here = len(self._clients.connections)
         self._proxy.end_all()
-        self._clients.close_idle(unasked=True)
+        self._clients.close_idle(include_new=True)
         return here
 
     def gauges(self) -> Gauges:
@@ -206,7 +206,7 @@
             oldest_ms=now - min(oldest, default=now),
             bytes_to_go=sum(told for told, _ in left),
             untold=sum(untold for _, untold in left),
-            unread=sum(client.choked for client in self._clients.flowing),
+            unread=sum(client.not_reading for client in self._clients.streaming),
             servers_ready=self._discovery_client.ready,
             use=sum(uses) / len(uses) if uses else None,
             counters=dict(self._counters),
--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 
 from lupinlink.net.clients import Listener
-from lupinlink.net.clients.accepting import BACKLOG
+from lupinlink.net.clients.listener import BACKLOG
 from lupinlink.net.components import Components
 from lupinlink.net.discovery_client import ListError
 from lupinlink.net.handover.capacity import Capacity, Limits, Usage, capacity_for, shrunk, usage
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -13,11 +13,11 @@
 from twisted.internet.error import CannotListenError
 
 from lupinlink.net import log as logs
+from lupinlink.net.client_drain import ClientDrain
 from lupinlink.net.components import build
 from lupinlink.net.discovery_client import ListError
 from lupinlink.net.handover.capacity import MIN_CONNECTIONS, Limits, capacity_for
 from lupinlink.net.http1 import MAX_BODY
-from lupinlink.net.leavers import Leavers
 from lupinlink.net.listener_takeover import ListenerTakeover
 from lupinlink.net.loop_iterations import measure_iterations
 from lupinlink.net.management import MAX_BODY_BYTES, Handler, ManagementApi, connection_limit, yes_or_no
--- a/tests/scripted_extension.py
+++ b/tests/scripted_extension.py
@@ -17,7 +17,7 @@
 from lupinlink.commands.told import told_off
 from lupinlink.coordination.part import Answer, Ask, DoorCalls
 from lupinlink.net.fleet_extension import ExtensionHost, Refusal
-from lupinlink.net.proxy import Call
+from lupinlink.net.proxy import ClientRequest
 from lupinlink.net.service import serve
 from lupinlink.settings import SettingsError, load_config
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -19,8 +19,8 @@
 from lupinlink.net.twisted_types import Reactor
 from lupinlink.net.watch import Watch
 from tests.helpers import SAFE
+from tests.proxy_process import chunk
 from tests.recording_reactor import RecordingReactor
-from tests.stage import chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY_LINE = chunk("\n")
--- a/tests/test_fleet_extension.py
+++ b/tests/test_fleet_extension.py
@@ -10,7 +10,7 @@
 from typing import Any, ClassVar
 
 from tests import test_operations
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 ZONED: dict[str, Any] = {"az": "b"}
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
     Lifecycle,
     LifecycleState,
 )
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 
 class LifecycleStates(unittest.TestCase):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from tests.stage import WAIT, ApplicationServer, Discovery, Stage, chunk, listing, row
+from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 
 class Moving(Stage):
