--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -76,7 +76,7 @@
     _host: ExtensionHost | None = None
     _lead: Lead | None = None
     _lead_managed_by_part: bool = False  # a part starts and stops it
-    _wishes: Wishes | None = None
+    _wishes: DrainReasons | None = None
 
     @property
     def host(self) -> ExtensionHost:
@@ -85,7 +85,7 @@
         return self._host
 
     @property
-    def wishes(self) -> Wishes:
+    def wishes(self) -> DrainReasons:
         """The reasons to keep this proxy out of service; parts drain it, or end a drain, only by these."""
         if self._wishes is None:
             self._wishes = DrainReasons(self.host.drain, self.host.in_service)
@@ -201,12 +201,12 @@
                 table[path] = methods
         return table
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         """As decided by the part that controls admission, if there is one."""
         return self._admission.admits(call) if self._admission is not None else None
 
     @property
-    def settled(self) -> Callable[[Call], None] | None:
+    def settled(self) -> Callable[[ClientRequest], None] | None:
         """As needed by the part that controls admission, if there is one."""
         return self._admission.settled if self._admission is not None else None
 
--- a/lupinlink/net/fleet_extension.py
+++ b/lupinlink/net/fleet_extension.py
@@ -166,7 +166,7 @@
         """Further calls of the management API; called once, before ``started``."""
         ...
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         """None if a call may go to the decision module, else its refusal, which is answered at once with 429.
 
         Not called for calls that the proxy cannot accept anyway. An exception fails the call with 500, so
@@ -175,6 +175,6 @@
         ...
 
     @property
-    def settled(self) -> Callable[[Call], None] | None:
+    def settled(self) -> Callable[[ClientRequest], None] | None:
         """Called with each admitted call once it is completely answered; None: not needed."""
         ...
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -18,7 +18,7 @@
 from lupinlink.net.lifecycle import LifecycleState
 from lupinlink.net.lists import STATES
 from lupinlink.net.management import BadCallError, Handler
-from lupinlink.net.terms import Call
+from lupinlink.net.request_types import ClientRequest
 from lupinlink.settings import Config
 
 log = logging.getLogger(__name__)
@@ -115,9 +115,9 @@
         )  # fmt: skip
         self._reports, self._outcomes = UtilizationReports(), OutcomeCounts()
         self._started = self._stopped = False
-        self._proxy.admits = self._admits
-        self._proxy.settled = fleet.settled
-        self._proxy.reported, self._proxy.passed = self._reported, self._outcomes.record
+        self._proxy.quota_check = self._admits
+        self._proxy.on_settled = fleet.settled
+        self._proxy.on_load_report, self._proxy.on_attempt_ended = self._reported, self._outcomes.record
 
     def calls(self, own_routes: RouteTable) -> RouteTable:
         """The routes of the management API: those of the service and those of the extension."""
@@ -193,8 +193,8 @@
         counts = {phase: len(clients) for phase, clients in phases.items()}
         # The clients of each phase are ordered by the time they entered it.
         oldest = [next(iter(phases[phase])).since for phase in (Phase.OPEN, Phase.BODY) if counts[phase]]
-        long = {**phases[Phase.BODY], **self._clients.receiving, **self._clients.flowing}
-        left = [client.to_go() for client in long]
+        long = {**phases[Phase.BODY], **self._clients.uploading, **self._clients.streaming}
+        left = [client.bytes_to_go() for client in long]
         known = self.utilization()
         uses = [known[one.name] for one in self.servers() if one.state == "ready" and one.name in known]
         return Gauges(
@@ -221,7 +221,7 @@
             ready = "ready" if state is not None and state.name == "READY" else "draining"
             began = float(item.get("boot_ms") or 0.0)
             found.append(
-                ListedServer(name, str(item.get("az") or ""), ready, self._servers.reached(name), began)
+                ListedServer(name, str(item.get("az") or ""), ready, self._servers.is_reachable(name), began)
             )
         return found
 
@@ -235,7 +235,7 @@
 
     def busy_servers(self) -> set[str]:
         """Backends with an open request of this process."""
-        return self._servers.busy()
+        return self._servers.busy_servers()
 
     def withhold(self, names: frozenset[str]) -> None:
         """Take these backends, and no others, out of use."""
--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -135,7 +135,7 @@
         self._clients.port = cast(Port, listening)
         if self._upgrade.busy:
             # While the predecessor served, no front held requests back, so connections that queue are new.
-            self._clients.queue.left(self._clock.now())
+            self._clients.accept_queue.reading_stopped(self._clock.now())
         self._clients.listen()  # accepts only once this process serves
         if offer.get("drained"):
             self._set_drained(True)
--- a/lupinlink/net/management.py
+++ b/lupinlink/net/management.py
@@ -74,7 +74,7 @@
     def _answer(self, status: int, text: str, more: tuple[tuple[str, str], ...] = ()) -> None:
         self.answered = True
         headers = [("Content-Type", "text/plain"), *more]
-        self.transport.write(http1.answer(status, headers, text.encode(), close=True))
+        self.transport.write(http1.response(status, headers, text.encode(), close=True))
         # Only the write side is closed: closing with unread bytes sends a reset that may discard the answer.
         self.transport.loseWriteConnection()
         if self._timer is not None:
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -63,7 +63,7 @@
             components.lifecycle,
             components.discovery_client,
         )
-        self._leavers = Leavers(components, self._exit)
+        self._leavers = ClientDrain(components, self._exit)
         self._takeover = ListenerTakeover(
             config, limits, capacity, components, self._set_drained, self._leavers.watch
         )
--- a/tests/many_backends.py
+++ b/tests/many_backends.py
@@ -17,7 +17,7 @@
 PER_SECOND = 60.0  # requests at one process
 
 
-class ManyBackendsStage(FleetStage):
+class ManyBackendsStage(FleetProcessTest):
     """The few backends of the fleet tests, and many more that share one listener."""
 
     backends_listed: ClassVar[int] = MANY_BACKENDS
--- a/tests/scripted_extension.py
+++ b/tests/scripted_extension.py
@@ -40,7 +40,7 @@
     def calls(self) -> DoorCalls:
         return {"/control/fleet": {"GET": self._show, "PUT": self._act, "POST": self._echo}}
 
-    def admits(self, call: Call) -> Refusal | None:
+    def admits(self, call: ClientRequest) -> Refusal | None:
         self._admission_checks.append(call.identity)
         quota = next((value for name, value in call.headers if name == "X-Quota"), None)
         if quota == "broken":
@@ -48,7 +48,7 @@
         return Refusal(float(quota)) if quota is not None else None
 
     @property
-    def settled(self) -> Callable[[Call], None]:
+    def settled(self) -> Callable[[ClientRequest], None]:
         return lambda call: self._finished.append(f"{call.identity} {call.address}")
 
     def _show(self, ask: Ask) -> Answer:
--- a/tests/test_fleet_extension.py
+++ b/tests/test_fleet_extension.py
@@ -15,7 +15,7 @@
 ZONED: dict[str, Any] = {"az": "b"}
 
 
-class ExtensionStage(Stage):
+class ExtensionStage(ProxyProcessTest):
     """A proxy with the scripted extension, and two application servers."""
 
     module: ClassVar[str] = "tests.scripted_extension"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from lupinlink.net.handover.capacity import MIN_BESIDE, Limits, Usage, capacity_for, reserve, shrunk, usage
 from lupinlink.net.handover.messages import HandoverError, Reader, line, refusal
 from lupinlink.net.handover.upgrade import ANSWER_TIMEOUT_MS, WAIT_TIMEOUT_MS, Upgrade
-from tests.stage import OK, WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 
 class RecordingChannel:
@@ -170,7 +170,7 @@
         self.assertLessEqual(both, max(sockets, old_usage.descriptors + reserve(limits) + MIN_BESIDE))
 
 
-class UpgradeStage(Stage):
+class UpgradeStage(ProxyProcessTest):
     """A proxy in a folder that its successors share."""
 
     def setUp(self) -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -115,7 +115,7 @@
         self.assertLess(self.run_operation("bulk", 1, memory_mb=48.0).memory_mb, 48.0)
 
 
-class ManagedProxy(Stage):
+class ManagedProxy(ProxyProcessTest):
     """A proxy with a management API and one application server."""
 
     def setUp(self) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 
-class Moving(Stage):
+class Moving(ProxyProcessTest):
     """A proxy that watches one discovery server, and a second one to move to."""
 
     def setUp(self) -> None:
@@ -71,7 +71,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
-class LeastMemory(Stage):
+class LeastMemory(ProxyProcessTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 256}
 
     def test_a_proxy_serves_within_the_least_memory(self) -> None:
