--- a/lupinlink/commands/check.py
+++ b/lupinlink/commands/check.py
@@ -28,8 +28,8 @@
 def main(argv: list[str]) -> int:
     """Check one configuration; returns the exit code."""
     args = docopt(__doc__ or "", argv=argv)
+    from lupinlink.net.list_format import ListError
     from lupinlink.net.list_reader import ListReader
-    from lupinlink.net.lists import ListError
 
     try:
         config = load_config(os.environ, args["--config"])
--- a/lupinlink/lab/backend_cost.py
+++ b/lupinlink/lab/backend_cost.py
@@ -18,8 +18,8 @@
 from lupinlink.brain import Balancer
 from lupinlink.interface import Effect, Endpoint, MembershipKind, RequestClass, Settings, Status
 from lupinlink.net.backend_list import BackendList
+from lupinlink.net.list_format import ObjectSplitter
 from lupinlink.net.list_reader import ListReader
-from lupinlink.net.lists import Objects
 
 SIZES = (200, 800, 3200, 6400)
 PEERS = 6
@@ -149,7 +149,7 @@
     known.apply(reader.read(raw), MembershipKind.CACHED, START_MS)
 
     def work() -> None:
-        for one in Objects().feed(text):
+        for one in ObjectSplitter().feed(text):
             known.apply(reader.read(one), MembershipKind.FULL, START_MS)
 
     return work
--- a/lupinlink/net/application_servers/attempts.py
+++ b/lupinlink/net/application_servers/attempts.py
@@ -25,7 +25,7 @@
     counters: Counters
     connections: Slots[object]  # that are up, or on their way
     list_is_held: Callable[[], bool]  # whether no request may be written just now
-    read_waiting_news: Callable[[], bool]  # reads discovery's news; whether some of it has not come whole
+    read_pending_updates: Callable[[], bool]  # reads discovery's news; whether some of it has not come whole
 
 
 class AttemptConnection(Protocol):
--- a/lupinlink/net/application_servers/pools.py
+++ b/lupinlink/net/application_servers/pools.py
@@ -41,7 +41,7 @@
         self.clock, self.settings, self.counters = clock, settings, counters
         self.connections: Slots[object] = Slots(cap)
         self.list_is_held: Callable[[], bool] = lambda: False
-        self.read_waiting_news: Callable[[], bool] = lambda: False
+        self.read_pending_updates: Callable[[], bool] = lambda: False
         self._reactor = reactor
         self._pools: dict[str, Pool] = {}
         self._idle = IdleConnections()
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -75,7 +75,7 @@
         unsent, body = attempt.request()
         # Danger: what discovery has written counts as told though it lies unread. Nothing from here to the
         # write may take long: no look at the clock, no call to the decisions, no turn of the reactor.
-        news_cut_short = self._servers.read_waiting_news()
+        news_cut_short = self._servers.read_pending_updates()
         if news_cut_short or not (self.pool.current and attempt.is_open):
             self._leave_unbegun(attempt)
             return
--- a/lupinlink/net/backend_list.py
+++ b/lupinlink/net/backend_list.py
@@ -11,11 +11,11 @@
 
 from lupinlink.interface import EndpointState, MembershipKind
 from lupinlink.net.list_entries import ListEntry
-from lupinlink.net.lists import ListObject
+from lupinlink.net.list_format import ListObject
 
 # Only older objects for longer than this: discovery has lost its versions and numbers anew. It is the time
 # after which everything that discovery has counts as told.
-OLDER_LIST_MS = 6000.0
+VERSION_RESET_MS = 6000.0
 MAX_REMOVED = 4096  # names of removed backends whose last start is remembered
 
 
@@ -80,7 +80,7 @@
         return ListChange(MembershipKind.DELTA, changed)
 
     def _numbered_anew(self, now: float) -> bool:
-        return self._older_since is not None and now - self._older_since > OLDER_LIST_MS
+        return self._older_since is not None and now - self._older_since > VERSION_RESET_MS
 
     def _replace(self, told: ListObject, kind: MembershipKind) -> ListChange:
         """Take a whole list as it is, whatever its version."""
--- a/lupinlink/net/components.py
+++ b/lupinlink/net/components.py
@@ -39,10 +39,10 @@
     servers = ApplicationServers(reactor, clock, settings, room.servers, counters)
     discovery_client = DiscoveryClient(reactor, clock, config.discovery, settings, servers, counters)
     proxy = Proxy(settings, config.seed, clock, servers, discovery_client.call, counters)
-    discovery_client.tell = proxy.handle_soon
+    discovery_client.on_event = proxy.handle_soon
     proxy.on_trust_changed = partial(_trust_changed, discovery_client, lifecycle)
     clock.after(LIST_WAIT_MS, lifecycle.settle_list)
-    servers.read_waiting_news = discovery_client.read_waiting_news
+    servers.read_pending_updates = discovery_client.read_pending_updates
     servers.list_is_held = proxy.list_is_held
     clients = Clients(
         proxy, discovery_client, clock, settings, lifecycle, room.clients, room.spare_mb, counters
--- a/lupinlink/net/discovery_client.py
+++ b/lupinlink/net/discovery_client.py
@@ -9,12 +9,12 @@
 from lupinlink import interface as api
 from lupinlink.brain.discovery_times import DiscoveryTimes
 from lupinlink.net.application_servers import ApplicationServers
-from lupinlink.net.backend_list import OLDER_LIST_MS
+from lupinlink.net.backend_list import VERSION_RESET_MS
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_log import DiscoveryLog
-from lupinlink.net.list_intake import ListIntake, Taking
-from lupinlink.net.list_keeper import ListKeeper, Told
-from lupinlink.net.lists import ListError as ListError
+from lupinlink.net.list_format import ListError as ListError
+from lupinlink.net.list_update_queue import ListUpdateQueue, QueuedUpdate
+from lupinlink.net.list_updater import ListUpdate, ListUpdater
 from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.net.twisted_types import Reactor
 from lupinlink.net.watch import Watch
@@ -44,13 +44,13 @@
         self._reactor, self.clock, self._settings = reactor, clock, settings
         self._servers, self._counters = servers, counters
         self._discovery = discovery
-        self.tell: Callable[[api.Membership | api.DiscoveryEvent], None] = lambda event: None
+        self.on_event: Callable[[api.Membership | api.DiscoveryEvent], None] = lambda event: None
         self._log = DiscoveryLog(counters, settings.subscribe)
         self.log_trust = self._log.trust
-        self._keeper = ListKeeper(
-            clock, settings, servers, counters, self._log, lambda event: self.tell(event)
+        self._keeper = ListUpdater(
+            clock, settings, servers, counters, self._log, lambda event: self.on_event(event)
         )
-        self._intake = ListIntake(clock, self._settled)
+        self._intake = ListUpdateQueue(clock, self._settled)
         self._looking = False  # whether older objects leave the list behind is looked at soon
         self._times = DiscoveryTimes.of(settings)
         self._live: Watch | None = None  # the watch that has told last
@@ -78,7 +78,7 @@
 
         Danger: what the agent has, or a former process was told, counts from this process's first moment on.
         """
-        self.tell(api.ProcessStarted())
+        self.on_event(api.ProcessStarted())
         if not known:
             known = {"rev": 0, "all": True, "targets": []}
         self._keeper.begin(known)
@@ -117,35 +117,35 @@
         """The whole list has to be asked for; calls that were made for less are over."""
         self._foreign = True
         self._drop_calls(why)
-        self.tell(api.DiscoveryMoved())
+        self.on_event(api.DiscoveryMoved())
 
     def late(self, watch: Watch) -> None:
         """A call still waits."""
         if watch in self._asked:
-            self.tell(api.DiscoveryCallLate())
+            self.on_event(api.DiscoveryCallLate())
 
     def reached(self, watch: Watch) -> None:
         """The connection of a call came up."""
         if watch in self._asked:
             self._log.reached(watch)
             beside_watch = watch.asks_whole and self._live is not None
-            self.tell(api.DiscoveryCallReached(watch.number, beside_watch))
+            self.on_event(api.DiscoveryCallReached(watch.number, beside_watch))
 
     def answered(self, watch: Watch) -> None:
         """A call has a good head."""
         if watch in self._asked:
             self._log.answered(watch)
-            self.tell(api.DiscoveryCallAnswered())
+            self.on_event(api.DiscoveryCallAnswered())
 
     def partial(self, watch: Watch) -> None:
         """Something has begun on one of them and not come whole, or has come whole."""
-        self.tell(api.DiscoveryPartial(self._has_partial()))
+        self.on_event(api.DiscoveryPartial(self._has_partial()))
 
     def unchanged(self, watch: Watch) -> None:
         """Nothing has changed since the list that we have."""
         if watch in self._asked and not self._foreign and not self._intake.busy:
             self._stands(watch)
-            self.tell(api.Membership(api.MembershipKind.DELTA))
+            self.on_event(api.Membership(api.MembershipKind.DELTA))
 
     def take(self, watch: Watch, raw: Any, full: bool = False) -> None:
         """One object of a watch. The first one of a new watch ends the old one, and nothing sooner."""
@@ -165,10 +165,10 @@
                 self._foreign = self._renumbered = False
                 self._stands(watch)
 
-        told = Told(raw, kind, new and self._renumbered, is_current)
-        self._intake.take(Taking(self._keeper.taking(told, taken), lambda error: watch.end(str(error))))
+        told = ListUpdate(raw, kind, new and self._renumbered, is_current)
+        self._intake.take(QueuedUpdate(self._keeper.taking(told, taken), lambda error: watch.end(str(error))))
         if self._intake.busy:
-            self.tell(api.DiscoveryPartial(True))
+            self.on_event(api.DiscoveryPartial(True))
 
     def _stands(self, watch: Watch) -> None:
         """This watch has told: the one before it and all other calls are over."""
@@ -184,7 +184,7 @@
         for call in calls:
             call.end(why)
 
-    def read_waiting_news(self) -> bool:
+    def read_pending_updates(self) -> bool:
         """Read what discovery has written already, until a look at each watch finds nothing.
 
         Returns whether some of it has not come whole: then the list may be out of date.
@@ -205,7 +205,7 @@
 
     def stop(self) -> None:
         """Watch no longer, and tell nobody."""
-        self.tell = lambda event: None
+        self.on_event = lambda event: None
         self._stopped = True
         self._drop_calls("stopping")
         if self._live is not None:
@@ -217,13 +217,13 @@
 
     def _settled(self) -> None:
         """No object is on its way in any more."""
-        self.tell(api.DiscoveryPartial(self._has_partial()))
+        self.on_event(api.DiscoveryPartial(self._has_partial()))
 
     def _look_whether_behind(self) -> None:
         """Soon, if older objects came; only a whole list sets that right."""
         if self._keeper.behind and not self._looking:
             self._looking = True
-            self.clock.after(OLDER_LIST_MS + 1.0, self._ask_whole)
+            self.clock.after(VERSION_RESET_MS + 1.0, self._ask_whole)
 
     def _ask_whole(self) -> None:
         """Older objects left the list behind: ask for the whole one; the old watch is heard until then."""
@@ -236,10 +236,12 @@
         self._log.ended(end, watch, self.version, self._times.silence_timeout_ms)
         if watch in self._asked:
             self._asked.remove(watch)
-            self.tell(end.as_failed_call(watch.number, watch.asks_whole))
+            self.on_event(end.as_failed_call(watch.number, watch.asks_whole))
         elif watch is self._live:
             self._live = None
-            self.tell(api.DiscoveryWatchEnded(end.heard_at, end.silent, at_previous_address=self._foreign))
+            self.on_event(
+                api.DiscoveryWatchEnded(end.heard_at, end.silent, at_previous_address=self._foreign)
+            )
             for call in self._asked:  # from now on no other watch tells what their answers would
                 if call.reached:
-                    self.tell(api.DiscoveryCallReached(call.number))
+                    self.on_event(api.DiscoveryCallReached(call.number))
--- a/lupinlink/net/discovery_log.py
+++ b/lupinlink/net/discovery_log.py
@@ -13,7 +13,7 @@
 from lupinlink.interface import ListTrust, ListTrustChanged
 from lupinlink.net.counters import Counters
 from lupinlink.net.list_entries import ListEntry
-from lupinlink.net.lists import ListObject
+from lupinlink.net.list_format import ListObject
 from lupinlink.net.watch_listener import WatchEnd
 from lupinlink.settings import Settings
 
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -13,7 +13,7 @@
 from lupinlink.net.components import Components
 from lupinlink.net.fleet_extension import FleetExtension, Gauges, Listed, Outcomes
 from lupinlink.net.lifecycle import LifecycleState
-from lupinlink.net.lists import STATES
+from lupinlink.net.list_format import STATE_BY_NAME
 from lupinlink.net.management import Call as ManagementCall
 from lupinlink.net.management import WrongAskError
 from lupinlink.net.request_types import ClientRequest
@@ -210,7 +210,7 @@
         """The list."""
         found = []
         for item in self._discovery_client.snapshot()["targets"]:
-            name, state = str(item["uid"]), STATES.get(item["state"])
+            name, state = str(item["uid"]), STATE_BY_NAME.get(item["state"])
             ready = "ready" if state is not None and state.name == "READY" else "draining"
             began = float(item.get("boot_ms") or 0.0)
             found.append(
--- a/lupinlink/net/list_entries.py
+++ b/lupinlink/net/list_entries.py
@@ -9,12 +9,12 @@
 from lupinlink.interface import Endpoint, EndpointState
 from lupinlink.settings import Settings, SettingsError, parse_address
 
-STATES = {
+STATE_BY_NAME = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.GONE,
 }
-STATE_WORDS = {state: word for word, state in STATES.items()}
+NAME_BY_STATE = {state: word for word, state in STATE_BY_NAME.items()}
 DEFAULT_SIZE_HINT = 1.0
 
 
@@ -52,7 +52,7 @@
             "az": self.zone,
             "model": self.kind,
             "pod_group": endpoint.cell,
-            "state": STATE_WORDS[endpoint.state],
+            "state": NAME_BY_STATE[endpoint.state],
             "capacity_hint": endpoint.size_hint,
             "boot_ms": endpoint.started_ms,
         }
@@ -66,7 +66,7 @@
     if not isinstance(item, dict) or not (name := _name(item.get("uid"))):
         return None
     faults = [] if _fits_header(name) else ["uid: fits no header"]
-    state = STATES.get(item["state"]) if isinstance(item.get("state"), str) else None
+    state = STATE_BY_NAME.get(item["state"]) if isinstance(item.get("state"), str) else None
     if state is None:
         faults.append("state: missing or unknown")
         state = EndpointState.DRAINING
@@ -82,8 +82,8 @@
     zone, kind = item.get("az"), item.get("model")
     endpoint = Endpoint(
         name=name,
-        zone=number(settings.zones, zone),
-        kind=number(settings.kinds, kind),
+        zone=index_or_unknown(settings.zones, zone),
+        kind=index_or_unknown(settings.kinds, kind),
         cell=_cell(item.get("pod_group")),
         state=state,
         size_hint=_size_hint(item.get("capacity_hint")),
@@ -92,7 +92,7 @@
     return ListEntry(endpoint, host, port, _text(zone), _text(kind), "; ".join(faults))
 
 
-def number(names: tuple[str, ...], name: object) -> int:
+def index_or_unknown(names: tuple[str, ...], name: object) -> int:
     """The settings' number of a zone or kind; all unknown ones are one more of their own."""
     return names.index(name) if name in names else len(names)
 
--- a/lupinlink/net/lists.py
+++ b/lupinlink/net/list_format.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from lupinlink.errors import LupinError
-from lupinlink.net.list_entries import STATES as STATES
+from lupinlink.net.list_entries import STATE_BY_NAME as STATE_BY_NAME
 from lupinlink.net.list_entries import ListEntry
-from lupinlink.net.list_entries import number as number
+from lupinlink.net.list_entries import index_or_unknown as index_or_unknown
 
-MAX_LIST = 4 * 1024 * 1024  # bytes of one object: 6,400 backends over several lines each take some 2 MiB
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # 6,400 backends, indented over several lines each, take some 2 MiB
 MAX_VERSION = 2**63  # a version from here on is none
 # An empty line, or one that may end an object.
 MAY_END = re.compile(rb"(?:\A|\n)[ \t\r\x0b\x0c]*\n|\}[ \t\r\x0b\x0c]*(?:\n|\Z)")
@@ -45,7 +45,7 @@
     return rev if abs(rev) < MAX_VERSION else None
 
 
-class Objects:
+class ObjectSplitter:
     """Cuts the lines of a watch into its objects. Most take one line; one may come indented, over several."""
 
     def __init__(self) -> None:
@@ -72,8 +72,8 @@
         if end:
             self._lines.append(data[: end - 1])
             self._size += end
-        if self._size > MAX_LIST:
-            raise ListError(f"an object of over {MAX_LIST} bytes")
+        if self._size > MAX_OBJECT_BYTES:
+            raise ListError(f"an object of over {MAX_OBJECT_BYTES} bytes")
         return data[end:]
 
     def feed(self, data: bytes) -> list[Any]:
@@ -96,8 +96,8 @@
         if self._line.rstrip().endswith(b"}"):
             found += self._before_line_end()
         self.signs += len(found) + (not begun and self.begun)
-        if self._size + len(self._line) > MAX_LIST:
-            raise ListError(f"an object of over {MAX_LIST} bytes")
+        if self._size + len(self._line) > MAX_OBJECT_BYTES:
+            raise ListError(f"an object of over {MAX_OBJECT_BYTES} bytes")
         return found
 
     def _before_line_end(self) -> list[Any]:
--- a/lupinlink/net/list_reader.py
+++ b/lupinlink/net/list_reader.py
@@ -8,7 +8,7 @@
 
 from lupinlink.interface import EndpointState
 from lupinlink.net.list_entries import ListEntry, read_entry
-from lupinlink.net.lists import ListError, ListObject, version_of
+from lupinlink.net.list_format import ListError, ListObject, version_of
 from lupinlink.settings import Settings
 
 SLICE_ENTRIES = 512  # entries that are read anew in one turn of the event loop
--- a/lupinlink/net/list_intake.py
+++ b/lupinlink/net/list_update_queue.py
@@ -7,34 +7,34 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from lupinlink.net.lists import ListError
+from lupinlink.net.list_format import ListError
 from lupinlink.net.timer_wheel import ReactorClock
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
-class Taking:
+class QueuedUpdate:
     """One object on its way in."""
 
     slices: Iterator[None]  # stops between two slices
     broken: Callable[[ListError], None]  # it shows too late that it is no list
 
 
-class ListIntake:
+class ListUpdateQueue:
     """Runs them in their order. An object of one slice is taken at once, if none is on its way in."""
 
     def __init__(self, clock: ReactorClock, settled: Callable[[], None]) -> None:
         """``settled``: the last of those that took more than one turn is in."""
         self._clock, self._settled = clock, settled
-        self._objects: deque[Taking] = deque()
+        self._objects: deque[QueuedUpdate] = deque()
 
     @property
     def busy(self) -> bool:
         """Whether an object is on its way in: what it tells counts already."""
         return bool(self._objects)
 
-    def take(self, taking: Taking) -> None:
+    def take(self, taking: QueuedUpdate) -> None:
         """Take an object, or its first slice; raises ListError if that shows that it is no list."""
         if self._objects:
             self._objects.append(taking)
@@ -53,7 +53,7 @@
         else:
             self._settled()
 
-    def _slice(self, taking: Taking) -> bool:
+    def _slice(self, taking: QueuedUpdate) -> bool:
         """Whether more of it is to come."""
         try:
             for _ in taking.slices:
--- a/lupinlink/net/list_keeper.py
+++ b/lupinlink/net/list_updater.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class ListUpdate:
     """One object as discovery told it."""
 
     raw: Any
@@ -29,7 +29,7 @@
     is_current: Callable[[], bool] = lambda: True  # whether it shows what discovery has now
 
 
-class ListKeeper:
+class ListUpdater:
     """The list, and who has to learn of it."""
 
     def __init__(
@@ -76,10 +76,10 @@
 
     def begin(self, known: Mapping[str, Any]) -> None:
         """The list as this proxy last had it, at once; raises ListError if it is none."""
-        for _ in self.taking(Told(dict(known), api.MembershipKind.CACHED)):
+        for _ in self.taking(ListUpdate(dict(known), api.MembershipKind.CACHED)):
             pass
 
-    def taking(self, told: Told, taken: Callable[[], None] = lambda: None) -> Iterator[None]:
+    def taking(self, told: ListUpdate, taken: Callable[[], None] = lambda: None) -> Iterator[None]:
         """Take an object in slices; raises ListError if it is no list.
 
         ``taken``: the list has it, pools and module have yet to learn it.
@@ -94,7 +94,7 @@
         taken()
         yield from self._teach(change, told)
 
-    def _teach(self, change: ListChange, told: Told) -> Iterator[None]:
+    def _teach(self, change: ListChange, told: ListUpdate) -> Iterator[None]:
         """Pools and module learn it; the last slice says that the list is current."""
         self._counters["lists"] += 1
         if change.kind == api.MembershipKind.CACHED:
--- a/lupinlink/net/watch.py
+++ b/lupinlink/net/watch.py
@@ -14,12 +14,12 @@
 
 from lupinlink.brain.discovery_times import DiscoveryTimes
 from lupinlink.net import http1
-from lupinlink.net.lists import MAX_LIST, ListError, Objects
+from lupinlink.net.list_format import MAX_OBJECT_BYTES, ListError, ObjectSplitter
 from lupinlink.net.socket_peek import peek
 from lupinlink.net.timer_wheel import ReactorClock, Timer
 from lupinlink.net.twisted_types import READ_BYTES, Connector, Reactor, Transport
-from lupinlink.net.watch_dial import WatchDial
-from lupinlink.net.watch_listener import Listener, WatchEnd
+from lupinlink.net.watch_factory import WatchFactory
+from lupinlink.net.watch_listener import WatchEnd, WatchListener
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        listener: Listener,
+        listener: WatchListener,
         clock: ReactorClock,
         times: DiscoveryTimes,
         address: tuple[str, int],
@@ -45,8 +45,8 @@
         self._listener, self._clock, self._times = listener, clock, times
         self._whole, self._pushed = whole, pushed
         self.asks_whole = whole  # at first
-        self._parser = http1.ResponseParser(MAX_LIST, sys.maxsize)
-        self._objects = Objects()
+        self._parser = http1.ResponseParser(MAX_OBJECT_BYTES, sys.maxsize)
+        self._objects = ObjectSplitter()
         self.began = self._heard_at = clock.now()
         self.reached = False  # its connection came up, and the request was written
         self.answered = False  # a good head has come
@@ -66,7 +66,7 @@
         """Go out; our timers cover the dial as well, so Twisted's own time-out is off."""
         self._expect(self._times.answer_timeout_ms)
         self._late = self._clock.after(self._times.late_call_after_ms, self._is_late)
-        connector = reactor.connectTCP(*self.address, WatchDial(self), timeout=None)
+        connector = reactor.connectTCP(*self.address, WatchFactory(self), timeout=None)
         if self._over:
             connector.disconnect()
         else:
@@ -206,7 +206,7 @@
         would be taken out of their order.
         """
         was_read = False
-        for _ in range(MAX_LIST // READ_BYTES):
+        for _ in range(MAX_OBJECT_BYTES // READ_BYTES):
             if self._over or self.transport is None or not peek(self.transport):
                 break
             was_read = True
--- a/lupinlink/net/watch_dial.py
+++ b/lupinlink/net/watch_factory.py
@@ -13,7 +13,7 @@
     from lupinlink.net.watch import Watch
 
 
-class WatchDial(ClientFactory):
+class WatchFactory(ClientFactory):
     """Brings one watch's connection up."""
 
     noisy = False
--- a/lupinlink/net/watch_listener.py
+++ b/lupinlink/net/watch_listener.py
@@ -31,7 +31,7 @@
         )
 
 
-class Listener(Protocol):
+class WatchListener(Protocol):
     """Who a watch tells."""
 
     @property
--- a/tests/discovery_calls.py
+++ b/tests/discovery_calls.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tests.backend_list import BackendList, Entry
+from tests.drain_oracle import OpenWatch, Process
 from tests.drain_script import CallFault, Fault, Script
 from tests.loopback_servers import chunk
 from tests.memory_net import Link, VirtualClock
-from tests.told_oracle import OpenWatch, Process
+from tests.simulated_backend_list import Entry, SimulatedBackendList
 
 BEAT_MS, PIECE_MS, DRIP_MS = 2000.0, 300.0, 1000.0
 TRANSIT_MS = 900.0  # from the write of an answer that is late or lost to its arrival, or to the reset
@@ -25,7 +25,7 @@
 
     script: Script
     clock: VirtualClock
-    backends: BackendList
+    backends: SimulatedBackendList
     quiet: bool
 
     def wrote(self, process: Process, news: Entry) -> None: ...
--- a/tests/discovery_drive.py
+++ b/tests/discovery_drive.py
@@ -13,12 +13,12 @@
 from lupinlink.net.handover.capacity import Capacity
 from lupinlink.net.request_types import ClientRequest, FailureReason, Reply
 from lupinlink.settings import Config, Effect, RequestClass, Settings, Tenant
+from tests.drain_oracle import LATEST_MS, DrainOracle, LateAttempt, Outage, after_outages
 from tests.drain_script import Script
 from tests.loopback_servers import OK
 from tests.memory_net import Link, VirtualClock
 from tests.memory_reactor import MemoryReactor
 from tests.simulated_discovery import ADDRESSES, SimulatedDiscovery
-from tests.told_oracle import LATEST_MS, Lateness, Outage, ToldOracle, after_outages
 
 SPARSE_MS, USUAL_MS, DENSE_MS = 400.0, 50.0, 25.0  # between requests: usually, and around "told"
 USUAL, DENSE = (
@@ -39,7 +39,7 @@
 class Result:
     """What a drive has shown."""
 
-    latenesses: list[Lateness]  # the worst first
+    late_attempts: list[LateAttempt]  # the worst first
     held_ms: float  # in all, while there were requests and no attempt began
     longest_hold_ms: float
     attempts: int
@@ -49,10 +49,10 @@
     @property
     def worst_ms(self) -> float:
         """The worst lateness; above 0 the rule is broken."""
-        return self.latenesses[0].ms - ROUNDING_MS if self.latenesses else -LATEST_MS
+        return self.late_attempts[0].ms - ROUNDING_MS if self.late_attempts else -LATEST_MS
 
     def __str__(self) -> str:
-        late = [lateness for lateness in self.latenesses if lateness.ms > ROUNDING_MS]
+        late = [lateness for lateness in self.late_attempts if lateness.ms > ROUNDING_MS]
         worst = f"{len(late)} late, worst {late[0]}" if late else "none late"
         return f"{worst}; held {self.held_ms:.0f} ms, longest {self.longest_hold_ms:.0f}; {self.answers}"
 
@@ -85,7 +85,7 @@
     def __init__(self, script: Script) -> None:
         self._script, self.clock = script, VirtualClock()
         outages = tuple(Outage(outage.begin, outage.end) for outage in script.outages)
-        self.oracle = ToldOracle(outages, script.pushed, script.starts_in_outages)
+        self.oracle = DrainOracle(outages, script.pushed, script.starts_in_outages)
         self._discovery = SimulatedDiscovery(script, self.clock, self.oracle)
         self._where, self._number = 0, 0
         self._answers: dict[str, int] = {}
@@ -202,7 +202,7 @@
         watched = self.clock.now - WATCHED_MS
         fed, sent = (sum(at >= watched for at in each) for each in (self._fed, times))
         return Result(
-            self.oracle.latenesses(), sum(holds), max(holds, default=0.0), len(times),
+            self.oracle.late_attempts(), sum(holds), max(holds, default=0.0), len(times),
             self._answers, sent >= fed / 2,
         )  # fmt: skip
 
--- a/tests/drain_discovery.py
+++ b/tests/drain_discovery.py
@@ -26,7 +26,7 @@
 CUT_S = 0.7  # from an object that is cut short to the reset of its connection
 
 
-class Door(LoopbackServer):
+class DiscoveryFrontend(LoopbackServer):
     """The port through which one proxy process reaches the shared discovery."""
 
     def __init__(self, shared: SharedDiscovery) -> None:
@@ -152,15 +152,15 @@
         self.rev, self.rows = 41, {row["uid"]: row for row in rows}
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.drained_at: dict[str, float] = {}
-        self.doors: list[Door] = []
+        self.frontends: list[DiscoveryFrontend] = []
         self.lock = threading.RLock()
         self.closing, self.speaking = threading.Event(), threading.Event()
         self.speaking.set()
         threading.Thread(target=self._beat, daemon=True).start()
 
-    def door(self) -> Door:
-        self.doors.append(Door(self))
-        return self.doors[-1]
+    def frontend(self) -> DiscoveryFrontend:
+        self.frontends.append(DiscoveryFrontend(self))
+        return self.frontends[-1]
 
     def whole(self) -> dict[str, Any]:
         return listing(self.rev, True, *(r for r in self.rows.values() if r["state"] == "in_service"))
@@ -179,35 +179,35 @@
 
     def script(self, *replies: Reply) -> None:
         """The next calls through each door are answered so."""
-        for door in self.doors:
-            door.script = deque(replies)
+        for frontend in self.frontends:
+            frontend.script = deque(replies)
 
     def go_down(self) -> None:
-        for door in self.doors:
-            door.drop_all()
+        for frontend in self.frontends:
+            frontend.drop_all()
 
     def come_back(self) -> float:
         """The moment from which calls are accepted again."""
-        for door in self.doors:
-            door.listen_again()
+        for frontend in self.frontends:
+            frontend.listen_again()
         return time.monotonic()
 
     def silence_watches(self) -> float:
         """The open watches get one last empty line, and nothing ever after; new calls are their own."""
         with self.lock:
             self._beat_all()
-            for door in self.doors:
-                door.watches.clear()
+            for frontend in self.frontends:
+                frontend.watches.clear()
             return time.monotonic()
 
-    def end_watches(self, doors: Iterable[Door] | None = None) -> float:
+    def end_watches(self, frontends: Iterable[DiscoveryFrontend] | None = None) -> float:
         """Every watch ends, or those behind these doors; calls are accepted as ever. Returns when."""
         with self.lock:
-            for door in self.doors if doors is None else doors:
-                for connection in list(door.watches):
+            for frontend in self.frontends if frontends is None else frontends:
+                for connection in list(frontend.watches):
                     with suppress(OSError):
                         connection.shutdown(socket.SHUT_RDWR)
-                door.watches.clear()
+                frontend.watches.clear()
             return time.monotonic()
 
     def fall_silent(self) -> None:
@@ -226,19 +226,19 @@
     def close(self) -> None:
         self.closing.set()
         self.speaking.set()
-        for door in self.doors:
-            door.drop_all()
-            door.close()
+        for frontend in self.frontends:
+            frontend.drop_all()
+            frontend.close()
 
     def _push_all(self) -> None:
-        for door in self.doors:
-            for connection in list(door.watches):
+        for frontend in self.frontends:
+            for connection in list(frontend.watches):
                 with suppress(OSError):
-                    door.push(connection)
+                    frontend.push(connection)
 
     def _beat_all(self) -> None:
-        for door in self.doors:
-            for connection in list(door.watches):
+        for frontend in self.frontends:
+            for connection in list(frontend.watches):
                 with suppress(OSError):
                     connection.sendall(chunk("\n"))
 
--- a/tests/drain_fleet.py
+++ b/tests/drain_fleet.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from tests.drain_discovery import Door, Form, SharedDiscovery
+from tests.drain_discovery import DiscoveryFrontend, Form, SharedDiscovery
 from tests.loopback_servers import OK, WAIT, LoopbackServer, reset, row
 from tests.proxy_process import SETTINGS, ProxyProcessTest
 
@@ -83,7 +83,7 @@
     """One proxy process, from its start to its end."""
 
     name: str
-    doors: list[Door]
+    frontends: list[DiscoveryFrontend]
     process: subprocess.Popen[str]
     log: queue.Queue[str]
     config: dict[str, Any]
@@ -104,7 +104,9 @@
         ).encode()
 
     def told_at(self, uid: str, latest: float) -> float:
-        return min([latest, *(door.written[uid] for door in self.doors if uid in door.written)])
+        return min(
+            [latest, *(frontend.written[uid] for frontend in self.frontends if uid in frontend.written)]
+        )
 
     def load(self) -> None:
         """Keep some requests coming until ``halt``."""
@@ -152,16 +154,18 @@
         self.shared = self.peer(SharedDiscovery(self.rows))
         self.members: list[Member] = []
 
-    def spawn(self, name: str, *doors: Door, rank: int = 0, listen: str = "127.0.0.1:0") -> Member:
+    def spawn(
+        self, name: str, *frontends: DiscoveryFrontend, rank: int = 0, listen: str = "127.0.0.1:0"
+    ) -> Member:
         """Start one process with the list of the test's beginning; it is not serving yet."""
         limits = {**self.settings, "PeersTotal": self.peers, "Rank": rank}
         tenants = [{"Name": "acme", "QuotaPerS": 10000.0}]
         config = {**self.config(*self.rows), "name": name, "listen": listen,
-                  "discovery": f"127.0.0.1:{doors[0].port}",
+                  "discovery": f"127.0.0.1:{frontends[0].port}",
                   "settings": {**SETTINGS, "Tenants": tenants, **limits}}  # fmt: skip
         spawned_at = time.monotonic()
         process, log = self.launch(config)
-        member = Member(name, list(doors), process, log, config, self.file, spawned_at)
+        member = Member(name, list(frontends), process, log, config, self.file, spawned_at)
         self.members.append(member)
         self.addCleanup(member.halt.set)
         return member
@@ -175,13 +179,13 @@
         """So many processes under load, each with a watch that is up."""
         members = []
         for rank in range(size):
-            door = self.shared.door()
-            door.form = self.forms[rank % len(self.forms)]
-            members.append(self.spawn(f"n{rank}", door, rank=rank))
+            frontend = self.shared.frontend()
+            frontend.form = self.forms[rank % len(self.forms)]
+            members.append(self.spawn(f"n{rank}", frontend, rank=rank))
         self.await_serving(*members)
         for member in members:
             member.load()
-            member.doors[0].watching.get(timeout=WAIT)
+            member.frontends[0].watching.get(timeout=WAIT)
         for member in members:
             member.served(5)
         return members
@@ -207,7 +211,7 @@
                     late.append(
                         f"{member.name} sent {len(over)} to {uid}, {min(over) * 1000:.0f} to "
                         f"{max(over) * 1000:.0f} ms after the grace "
-                        f"({how}, {member.doors[0].form.name})"
+                        f"({how}, {member.frontends[0].form.name})"
                     )
         self.assertFalse(late, "\n" + "\n".join(late))
 
--- a/tests/told_oracle.py
+++ b/tests/drain_oracle.py
@@ -53,19 +53,19 @@
 
 
 @dataclass(frozen=True, order=True)
-class Lateness:
+class LateAttempt:
     """How much later than allowed an attempt began; 0 or below is in time."""
 
     ms: float
     at: float
-    told: float
+    notified_at: float
     backend: str
 
     def __str__(self) -> str:
-        return f"{self.ms:.0f} ms late: {self.backend} at {self.at:.0f}, told at {self.told:.0f}"
+        return f"{self.ms:.0f} ms late: {self.backend} at {self.at:.0f}, told at {self.notified_at:.0f}"
 
 
-class ToldOracle:
+class DrainOracle:
     """Takes down what happens; judges at the end."""
 
     def __init__(
@@ -111,18 +111,18 @@
         """When attempts began."""
         return [attempt.at for attempt in self._attempts]
 
-    def latenesses(self) -> list[Lateness]:
+    def late_attempts(self) -> list[LateAttempt]:
         """Of each attempt at a backend after its going was told, the worst first."""
         found = []
         for attempt in self._attempts:
             if attempt.backend in self._gone:
-                told = self.told(self.processes[attempt.process], attempt.backend)
+                told = self.notified_at(self.processes[attempt.process], attempt.backend)
                 late = attempt.at - told - GRACE_MS
                 if late > -GRACE_MS:
-                    found.append(Lateness(late, attempt.at, told, attempt.backend))
+                    found.append(LateAttempt(late, attempt.at, told, attempt.backend))
         return sorted(found, reverse=True)
 
-    def told(self, process: Process, backend: str) -> float:
+    def notified_at(self, process: Process, backend: str) -> float:
         """The earliest time at which that backend's going counts as told to that process."""
         had = self._gone[backend]
         if backend in process.known:
--- a/tests/drain_script.py
+++ b/tests/drain_script.py
@@ -9,13 +9,13 @@
 
 from hypothesis import strategies as st
 
-from tests.told_oracle import LATEST_MS, Outage
+from tests.drain_oracle import LATEST_MS, Outage
 
 AT_ONCE_MS = 300.0  # a call that fails within counts as failed at once
 ROW, ROW_AT_ONCE = 3, 2  # calls in a row that may fail, and at once: more are an outage
 
 
-class Going(Enum):
+class Departure(Enum):
     """What becomes of a backend."""
 
     DRAIN = "drain"
@@ -23,7 +23,7 @@
     REPLACEMENT = "replacement"
 
 
-class Away(Enum):
+class OutageKind(Enum):
     """How an outage shows."""
 
     REFUSE = "refuse"  # dials are refused
@@ -53,12 +53,12 @@
 @dataclass(frozen=True)
 class Change:
     at: float
-    going: Going = Going.DRAIN
+    going: Departure = Departure.DRAIN
 
 
 @dataclass(frozen=True)
-class OutageOf(Outage):
-    kind: Away = Away.REFUSE
+class ScriptedOutage(Outage):
+    kind: OutageKind = OutageKind.REFUSE
     delay: float = 0.0  # of its answers
 
 
@@ -102,7 +102,7 @@
     """All that is fixed before a drive begins."""
 
     changes: tuple[Change, ...] = ()
-    outages: tuple[OutageOf, ...] = ()
+    outages: tuple[ScriptedOutage, ...] = ()
     runs: tuple[Run, ...] = ()
     silences: tuple[float, ...] = ()
     moves: tuple[float, ...] = ()
@@ -147,12 +147,12 @@
     return tuple(kept)
 
 
-def apart(outages: list[tuple[float, float, float, Away, float]]) -> tuple[OutageOf, ...]:
+def apart(outages: list[tuple[float, float, float, OutageKind, float]]) -> tuple[ScriptedOutage, ...]:
     """One after the other: (gap since the last one's end, ..., length)."""
-    at, found = 0.0, list[OutageOf]()
+    at, found = 0.0, list[ScriptedOutage]()
     for begin, gap, length, kind, delay in outages:
         at = max(begin, at + gap) if found else begin
-        found.append(OutageOf(at, at + length, kind, delay))
+        found.append(ScriptedOutage(at, at + length, kind, delay))
         at += length
     return tuple(found)
 
@@ -176,9 +176,9 @@
 gaps = st.integers(5, 150).map(lambda n: 100.0 * n)
 outages = st.one_of(
     st.just(()),
-    st.lists(st.tuples(tenths, gaps, lengths, st.sampled_from(Away), delays), max_size=2).map(apart),
+    st.lists(st.tuples(tenths, gaps, lengths, st.sampled_from(OutageKind), delays), max_size=2).map(apart),
 )
-changes = st.lists(st.builds(Change, tenths, st.sampled_from(Going)), min_size=1, max_size=3).map(tuple)
+changes = st.lists(st.builds(Change, tenths, st.sampled_from(Departure)), min_size=1, max_size=3).map(tuple)
 pauses = st.lists(st.builds(Pause, tenths, st.integers(10, 150).map(float), st.integers(0, 12)), max_size=2)
 restarts = st.builds(Restart, tenths, st.integers(2, 20).map(lambda n: 100.0 * n), st.booleans())
 
--- a/tests/many_backends.py
+++ b/tests/many_backends.py
@@ -39,10 +39,10 @@
 
     def one_process(self) -> Member:
         """A proxy that has a watch and serves."""
-        door = self.shared.door()
-        member = self.spawn("n0", door)
+        frontend = self.shared.frontend()
+        member = self.spawn("n0", frontend)
         self.await_serving(member)
-        door.watching.get(timeout=30.0)
+        frontend.watching.get(timeout=30.0)
         until = time.monotonic() + 30.0
         while not self.answered_once(member):
             self.assertLess(time.monotonic(), until)
@@ -81,11 +81,11 @@
                 with self.shared.lock:
                     self.shared.rev += 1
                     data = chunk(json.dumps(self.shared.whole(), indent=indent) + "\n")
-                    for door in self.shared.doors:
-                        for connection in list(door.watches):
+                    for frontend in self.shared.frontends:
+                        for connection in list(frontend.watches):
                             with suppress(OSError):
                                 connection.sendall(data)
-                            door.watches[connection] = self.shared.rev
+                            frontend.watches[connection] = self.shared.rev
                 time.sleep(1.0 / per_second)
 
         thread = threading.Thread(target=write, daemon=True)
--- a/tests/production_table.py
+++ b/tests/production_table.py
@@ -67,11 +67,11 @@
         return AnsweringBackend()
 
     def play(self, processes: int, per_second: float, seconds: float) -> Needs:
-        doors = [self.shared.door() for _ in range(processes)]
-        members = [self.spawn(f"n{rank}", door, rank=rank) for rank, door in enumerate(doors)]
+        frontends = [self.shared.frontend() for _ in range(processes)]
+        members = [self.spawn(f"n{rank}", frontend, rank=rank) for rank, frontend in enumerate(frontends)]
         self.await_serving(*members)
-        for door in doors:
-            door.watching.get(timeout=30.0)
+        for frontend in frontends:
+            frontend.watching.get(timeout=30.0)
         before = [cpu_s(member) for member in members]
         loads = [OpenLoad(m.port, per_second, leavers=0.0, seed=i) for i, m in enumerate(members)]
         clients = threading.Thread(target=asyncio.run, args=(play_all(loads, seconds),))
@@ -91,7 +91,7 @@
             found.memory_mb += share * peak_mb(member)
             found.descriptors += share * len(list(Path(f"/proc/{member.process.pid}/fd").iterdir()))
             found.connections += share * self.opened(member)
-            found.list_kb += share * sum(door.sent_bytes for door in member.doors) / 1024.0
+            found.list_kb += share * sum(frontend.sent_bytes for frontend in member.frontends) / 1024.0
             found.served += share * load.statuses()[200] / len(load.sent)
         return found
 
--- a/tests/recording_reactor.py
+++ b/tests/recording_reactor.py
@@ -7,7 +7,7 @@
 from lupinlink.net.loop_iterations import LoopIterations
 from lupinlink.net.timer_wheel import Timer
 from lupinlink.net.watch import Watch
-from lupinlink.net.watch_dial import WatchDial
+from lupinlink.net.watch_factory import WatchFactory
 
 
 class RecordingReactor:
@@ -19,7 +19,7 @@
         self.time = 1000.0
         self.iterations = LoopIterations()
 
-    def connectTCP(self, host: str, port: int, factory: WatchDial, timeout: object) -> RecordingReactor:  # noqa: N802
+    def connectTCP(self, host: str, port: int, factory: WatchFactory, timeout: object) -> RecordingReactor:  # noqa: N802
         self.dials.append(factory.buildProtocol(None))
         return self
 
--- a/tests/backend_list.py
+++ b/tests/simulated_backend_list.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from tests.drain_script import Change, Going, Script
+from tests.drain_script import Change, Departure, Script
 
 NUMBERED_FROM = (41, 5041)  # each address of discovery has version numbers of its own
 READY = "in_service"
@@ -25,7 +25,7 @@
     return {**backend(0), **where, "capacity_hint": 1e-9}
 
 
-class BackendList:
+class SimulatedBackendList:
     """The truth; backend number n goes with the n-th change."""
 
     def __init__(self, script: Script) -> None:
@@ -64,16 +64,16 @@
         name = f"s-{number}"
         self.revision += 1
         self._changed[name] = self.revision
-        if change.going is Going.DRAIN:
+        if change.going is Departure.DRAIN:
             self._truth[name] = {**self._truth[name], "state": "terminating"}
         else:
             self._left[name] = {**self._truth.pop(name), "state": "terminated"}
-        if change.going is Going.REPLACEMENT:
+        if change.going is Departure.REPLACEMENT:
             fresh = backend(100 + number)
             self._truth[fresh["uid"]], self._changed[fresh["uid"]] = fresh, self.revision
         return name
 
-    def goings(self, news: Entry) -> set[str]:
+    def departures(self, news: Entry) -> set[str]:
         """The backends that this object tells to be going or gone."""
         told = {entry["uid"] for entry in news["targets"] if entry["state"] != READY}
         if news["all"]:
--- a/tests/simulated_discovery.py
+++ b/tests/simulated_discovery.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from tests.backend_list import BackendList, Entry, taken_in
 from tests.discovery_calls import ANSWERED, Call
-from tests.drain_script import Away, CallFault, Change, Fault, OutageOf, Script
+from tests.drain_oracle import DrainOracle, Process
+from tests.drain_script import CallFault, Change, Fault, OutageKind, Script, ScriptedOutage
 from tests.memory_net import Link, VirtualClock
-from tests.told_oracle import Process, ToldOracle
+from tests.simulated_backend_list import Entry, SimulatedBackendList, taken_in
 
 LATE_DIAL_MS = 1500.0
 TOLD_AFTER_END_MS = 300.0  # measured: news in place of a watch's end counts from here on, at the soonest
@@ -16,9 +16,9 @@
 class SimulatedDiscovery:
     """All calls, and what they meet; ``known`` is the list as the process has read it."""
 
-    def __init__(self, script: Script, clock: VirtualClock, oracle: ToldOracle) -> None:
+    def __init__(self, script: Script, clock: VirtualClock, oracle: DrainOracle) -> None:
         self.script, self.clock, self._oracle = script, clock, oracle
-        self.backends = BackendList(script)
+        self.backends = SimulatedBackendList(script)
         self.known = self._first = self.backends.whole(0)
         self.process: Process  # whose calls come from now on
         self.quiet = (
@@ -43,16 +43,16 @@
 
     def known_goings(self) -> frozenset[str]:
         """The goings that a process started now has in its list."""
-        return frozenset(self.backends.goings(self.known))
+        return frozenset(self.backends.departures(self.known))
 
     def wrote(self, process: Process, news: Entry) -> None:
         """An object was written whole to that process."""
-        for name in self.backends.goings(news):
+        for name in self.backends.departures(news):
             self._oracle.wrote(process, name, self.clock.now)
 
     def lost(self, process: Process, news: Entry, at: float) -> None:
         """What was written then was discarded by a reset, unread."""
-        for name in self.backends.goings(news):
+        for name in self.backends.departures(news):
             self._oracle.unread(process, name, at)
 
     def read(self, news: Entry) -> None:
@@ -107,7 +107,7 @@
             self._greet(link, where, self._next_fault())
         return link
 
-    def _outage(self) -> OutageOf | None:
+    def _outage(self) -> ScriptedOutage | None:
         now = self.clock.now
         return next((outage for outage in self.script.outages if outage.begin <= now < outage.end), None)
 
@@ -137,26 +137,26 @@
             self._calls.append(Call(self, link, where, fault, self.process))
             link.up = True
 
-    def _meet(self, outage: OutageOf, link: Link, where: int) -> None:
-        if outage.kind is Away.REFUSE:
+    def _meet(self, outage: ScriptedOutage, link: Link, where: int) -> None:
+        if outage.kind is OutageKind.REFUSE:
             link.refused = True
-        elif outage.kind is Away.ERROR:
+        elif outage.kind is OutageKind.ERROR:
             self._accept(link, where, CallFault(Fault.ERROR, outage.delay))
-        elif outage.kind is Away.RESET:
+        elif outage.kind is OutageKind.RESET:
             self._accept(link, where, ANSWERED)
             link.reset()
         else:
             link.dead = True
 
-    def _begin(self, outage: OutageOf) -> None:
+    def _begin(self, outage: ScriptedOutage) -> None:
         if self.script.pushed:
             self.quiet = True
             return
         for call in self._calls:
             call.silence()
-            if outage.kind is Away.CUT:
+            if outage.kind is OutageKind.CUT:
                 call.link.dead = True
-            elif outage.kind is Away.RESET:
+            elif outage.kind is OutageKind.RESET:
                 call.reset()
             else:
                 call.link.end()
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -1,6 +1,6 @@
 """A soak of real proxies: faults drawn from a seed, clients that stay until the kill, one referee at the end.
 
-What counts as told is judged by ``told_oracle``. A request is lost if it gets no final answer, unless its
+What counts as told is judged by ``drain_oracle``. A request is lost if it gets no final answer, unless its
 process was killed without a SIGTERM, or its connection ended at once and no backend has seen it.
 """
 
@@ -17,9 +17,9 @@
 
 from tests.discovery_replies import REPLIES, Form
 from tests.drain_fleet import GRACE_S, PACE_S, SLACK_S, TOLD_AFTER_END_S, UIDS, FleetProcessTest
+from tests.drain_oracle import DrainOracle, OpenWatch, Outage, Process
 from tests.loopback_servers import WAIT
 from tests.soak_verdict import Life, Verdict
-from tests.told_oracle import OpenWatch, Outage, Process, ToldOracle
 
 KILL_S = 2.7  # the longest deadline of the settings and 0.7 s after SIGTERM: the earliest kill
 EXPIRES_S, LOST_AFTER_S = 1.5, 0.5  # a client's time, and what it waits beyond it
@@ -53,7 +53,7 @@
         self.await_serving(*(lives[0].member for lives in self.lives))
         for lives in self.lives:
             self.clients(lives[0])
-            lives[0].door.watching.get(timeout=WAIT)
+            lives[0].frontend.watching.get(timeout=WAIT)
         plan = sorted((self.rng.uniform(0.2, EVENTS_S), step) for step in self.steps())
         begin = time.monotonic()
         for at, step in plan:
@@ -72,8 +72,8 @@
         return ["drain_one", "drain_one", *steps]
 
     def life(self, rank: int) -> Life:
-        door = self.shared.door()
-        return Life(self.spawn(f"n{rank}", door, rank=rank, listen="127.0.0.1:0"), door)
+        frontend = self.shared.frontend()
+        return Life(self.spawn(f"n{rank}", frontend, rank=rank, listen="127.0.0.1:0"), frontend)
 
     def drain_one(self) -> None:
         uid = UIDS[len(self.had)]
@@ -91,12 +91,12 @@
         """Discovery ends its watches instead of telling a drain; a call made at once would be told."""
         if len(self.had) == len(UIDS) - 1:
             return self.end_all()
-        watched = [door for door in self.shared.doors if door.watches and not door.script]
+        watched = [frontend for frontend in self.shared.frontends if frontend.watches and not frontend.script]
         with self.shared.lock:
             ended, uid = self.shared.end_watches(), UIDS[len(self.had)]
             self.drain_one()
-        for door in watched:
-            door.written.setdefault(uid, ended + TOLD_AFTER_END_S)
+        for frontend in watched:
+            frontend.written.setdefault(uid, ended + TOLD_AFTER_END_S)
         self.pass_time(ended + TOLD_AFTER_END_S + 1.0)
 
     def outage(self) -> None:
@@ -107,7 +107,7 @@
 
     def cut(self) -> None:
         for lives in self.lives:
-            lives[-1].door.form, lives[-1].door.cut_bytes = Form.CUT, self.rng.choice((1, 4, 9, 60))
+            lives[-1].frontend.form, lives[-1].frontend.cut_bytes = Form.CUT, self.rng.choice((1, 4, 9, 60))
 
     def replies(self) -> None:
         self.shared.script(*self.rng.choices(REPLIES, k=self.rng.randint(1, 3)))
@@ -177,7 +177,7 @@
 
     def _asked(self, life: Life, client: http.client.HTTPConnection) -> bool:
         """One request; whether its connection stays open."""
-        trace = f"{life.member.name}.{next(life.member.traces)}-{life.door.port}"
+        trace = f"{life.member.name}.{next(life.member.traces)}-{life.frontend.port}"
         headers = {"X-Trace-Id": trace, "X-Customer": "acme", "X-Expires-In-Ms": str(int(EXPIRES_S * 1000))}
         at = time.monotonic()
         try:
@@ -218,18 +218,18 @@
     def judge_drains(self) -> None:
         """Every first byte at a backend that drains, against when that counts as told to its process."""
         for lives in self.lives:
-            oracle = ToldOracle(tuple(self.outages))
+            oracle = DrainOracle(tuple(self.outages))
             for uid, at in self.had.items():
                 oracle.had(uid, at * 1000.0)
             processes = [self._process(oracle, life) for life in lives]
             for life, process in zip(lives, processes, strict=True):
                 self._judge(oracle, life, process)
 
-    def _process(self, oracle: ToldOracle, life: Life) -> Process:
+    def _process(self, oracle: DrainOracle, life: Life) -> Process:
         process = oracle.started(life.member.serving_at * 1000.0, frozenset())
-        for uid, at in life.door.written.items():
+        for uid, at in life.frontend.written.items():
             process.written[uid] = at * 1000.0
-        opened = sorted(life.door.opened)
+        opened = sorted(life.frontend.opened)
         for at in life.silences:
             before = [one for one in opened if one <= at]
             after = [one for one in opened if one > at]
@@ -238,10 +238,10 @@
                 process.watches.append(OpenWatch(before[-1] * 1000.0, at * 1000.0, closed))
         return process
 
-    def _judge(self, oracle: ToldOracle, life: Life, process: Process) -> None:
-        ending = f"-{life.door.port}"
+    def _judge(self, oracle: DrainOracle, life: Life, process: Process) -> None:
+        ending = f"-{life.frontend.port}"
         for uid in self.had:
-            told = oracle.told(process, uid) / 1000.0
+            told = oracle.notified_at(process, uid) / 1000.0
             for receipt in list(self.backends[uid].receipts):
                 late = receipt.at - told - GRACE_S - SLACK_S
                 if receipt.trace.endswith(ending) and late > 0.0:
--- a/tests/soak_verdict.py
+++ b/tests/soak_verdict.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from tests.drain_discovery import Door
+from tests.drain_discovery import DiscoveryFrontend
 from tests.drain_fleet import Member
 
 
@@ -14,7 +14,7 @@
     """One process of a proxy, and what its discovery has written to it."""
 
     member: Member
-    door: Door
+    frontend: DiscoveryFrontend
     termed_at: float = 0.0
     silences: list[float] = field(default_factory=list)
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -52,7 +52,7 @@
         self.discovery_client = DiscoveryClient(reactor, clock, ("127.0.0.1", 1), settings, servers, counters)
         self.node = Balancer(settings, Random(1))
         self.seen.timers.clear()  # the sweep of idle connections
-        self.discovery_client.tell = self.tell
+        self.discovery_client.on_event = self.tell
         self.discovery_client.start({})
 
     def tell(self, event: Event) -> None:
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -11,13 +11,13 @@
 from lupinlink.brain.discovery_times import MAX_HOLD_MS
 from lupinlink.interface import DiscoveryCallFailed, DiscoveryWatchEnded, Settings
 from tests.discovery_drive import ROUNDING_MS, drive
-from tests.drain_script import Away, Change, OutageOf, Restart, Script
+from tests.drain_script import Change, OutageKind, Restart, Script, ScriptedOutage
 from tests.helpers import SAFE
 from tests.test_drain_faults import SEEDS, Forced
 
 SLOW_MS = 2000.0  # a call that discovery cannot serve fails after this
-OUTAGE = OutageOf(9000.0, 40000.0, Away.ERROR, SLOW_MS)
-RESET_OUTAGE = OutageOf(9000.0, 40000.0, Away.RESET, SLOW_MS)
+OUTAGE = ScriptedOutage(9000.0, 40000.0, OutageKind.ERROR, SLOW_MS)
+RESET_OUTAGE = ScriptedOutage(9000.0, 40000.0, OutageKind.RESET, SLOW_MS)
 FAILED_CALL_MS = 2500.0  # a call that fails late, and the wait before it
 SHOWN_MS = 8400.0  # five calls that fail late, up to three at a time, the waits between, a request's time
 ENDED_LATE = DiscoveryCallFailed(connected=True, answered=False, took_ms=SLOW_MS, refused=True)
--- a/tests/test_told.py
+++ b/tests/test_discovery_watch.py
@@ -19,7 +19,7 @@
     Settings,
     Subscribe,
 )
-from lupinlink.net.lists import MAX_LIST, ListError, Objects
+from lupinlink.net.list_format import MAX_OBJECT_BYTES, ListError, ObjectSplitter
 from tests import test_reload
 from tests.helpers import SAFE, NodeHarness
 from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, chunk, listing, row
@@ -141,7 +141,7 @@
         for indent in (None, 1, 4):
             text = "".join(json.dumps(one, indent=indent) + "\n" for one in wanted).encode()
             for size in (1, 7, len(text)):
-                objects, found = Objects(), []
+                objects, found = ObjectSplitter(), []
                 for i in range(0, len(text), size):
                     found += objects.feed(text[i : i + size])
                 self.assertEqual(found, wanted, (indent, size))
@@ -157,9 +157,9 @@
             b"[1]\n",
         ):
             with self.assertRaises(ListError):
-                Objects().feed(broken)
+                ObjectSplitter().feed(broken)
         with self.assertRaises(ListError):
-            Objects().feed(b'{"a":\n' + b" " * MAX_LIST)
+            ObjectSplitter().feed(b'{"a":\n' + b" " * MAX_OBJECT_BYTES)
 
 
 class Silent(ProxyProcessTest):
--- a/tests/test_drain_answers.py
+++ b/tests/test_drain_answers.py
@@ -25,7 +25,17 @@
 
 from tests.discovery_replies import Kind, Reply
 from tests.drain_fleet import ALL_TOLD_S, DRAINED, TOLD_AFTER_END_S, FleetProcessTest, Member
-from tests.drain_script import Away, CallFault, Change, Fault, Going, OutageOf, Restart, Run, Script
+from tests.drain_script import (
+    CallFault,
+    Change,
+    Departure,
+    Fault,
+    OutageKind,
+    Restart,
+    Run,
+    Script,
+    ScriptedOutage,
+)
 from tests.test_drain_faults import Forced
 
 JUDGED_S = 1.0  # so long after the last moment of telling the load still goes on
@@ -44,7 +54,7 @@
         members: list[Member] = []
         for reply in ASTRAY:
             name = f"n{len(self.members)}-{peers}-{reply.kind.name}"
-            members.append(self.spawn(name, self.shared.door(), rank=len(members)))
+            members.append(self.spawn(name, self.shared.frontend(), rank=len(members)))
         return members
 
     def test_no_request_is_late_while_an_answer_is_on_its_way_or_lost(self) -> None:
@@ -53,12 +63,12 @@
         self.await_serving(*self.members)
         for member in self.members:
             member.load()
-            member.doors[0].watching.get(timeout=10.0)
+            member.frontends[0].watching.get(timeout=10.0)
         for members in (silent, ended):
             for member, reply in zip(members, 2 * ASTRAY, strict=True):
                 again = (LOST_AGAIN,) if reply.kind is Kind.LOST else ()
-                member.doors[0].script = deque((reply, *again))
-        self.shared.end_watches(member.doors[0] for member in ended)
+                member.frontends[0].script = deque((reply, *again))
+        self.shared.end_watches(member.frontends[0] for member in ended)
         self.shared.silence_watches()
         drained = self.shared.drain(*DRAINED)
         self.pass_time(drained + ALL_TOLD_S + JUDGED_S)
@@ -75,13 +85,13 @@
     def test_no_request_is_late_between_the_end_of_a_watch_and_the_answer_to_the_next_call(self) -> None:
         for self.peers in (SMALL, LARGE):  # type: ignore[misc]
             for delay_s in (0.4, 0.9, 0.4, 0.9):
-                door, rank = self.shared.door(), len(self.members) % 2
-                self.spawn(f"n{len(self.members)}-{self.peers}-{delay_s}", door, rank=rank)
-                door.script = deque((Reply(), Reply(delay_s=delay_s)))
+                frontend, rank = self.shared.frontend(), len(self.members) % 2
+                self.spawn(f"n{len(self.members)}-{self.peers}-{delay_s}", frontend, rank=rank)
+                frontend.script = deque((Reply(), Reply(delay_s=delay_s)))
         self.await_serving(*self.members)
         for member in self.members:
             member.load()
-            member.doors[0].watching.get(timeout=10.0)
+            member.frontends[0].watching.get(timeout=10.0)
         with self.shared.lock:
             ended = self.shared.end_watches()
             self.shared.drain(*DRAINED)
@@ -95,7 +105,7 @@
     def test_an_answer_that_an_outage_cuts_off_behind_two_refusals(self) -> None:
         refused = CallFault(Fault.ERROR)
         run = Run(5000.0, (refused, refused, CallFault(Fault.LOST)))
-        outage, restart = OutageOf(6500.0, 8500.0), Restart(5000.0, 200.0)
+        outage, restart = ScriptedOutage(6500.0, 8500.0), Restart(5000.0, 200.0)
         self.in_time(Script((Change(5000.0),), (outage,), (run,), restarts=(restart,)))
 
 
@@ -103,9 +113,12 @@
     """A watch ends instead of telling; calls that are turned down after it show nothing of its news."""
 
     def test_news_of_an_ended_watch_counts_though_calls_are_turned_down(self) -> None:
-        outages = OutageOf(9400.0, 37700.0, Away.ERROR, 2000.0), OutageOf(13300.0, 15500.0, Away.ERROR)
+        outages = (
+            ScriptedOutage(9400.0, 37700.0, OutageKind.ERROR, 2000.0),
+            ScriptedOutage(13300.0, 15500.0, OutageKind.ERROR),
+        )
         for going_at, outage in zip((9000.0, 12600.0), outages, strict=True):
-            self.in_time(Script((Change(going_at, Going.REMOVAL),), (outage,), ends_instead=True))
+            self.in_time(Script((Change(going_at, Departure.REMOVAL),), (outage,), ends_instead=True))
 
 
 if __name__ == "__main__":
--- a/tests/test_drain_crossings.py
+++ b/tests/test_drain_crossings.py
@@ -73,7 +73,7 @@
         for member, connection in many:
             connection.sendall(b"".join(member.head() for _ in range(PIPELINED)))
         written = time.monotonic() if news_first else self.shared.drain(*DRAINED)
-        self.assertTrue(all(DRAINED[0] in member.doors[0].written for member in members))
+        self.assertTrue(all(DRAINED[0] in member.frontends[0].written for member in members))
         self.pass_time(written + held_s)
         for member in members:
             member.process.send_signal(signal.SIGCONT)
@@ -159,7 +159,7 @@
         for rank in range(4):
             with socket.create_server(("127.0.0.1", 0)) as free:
                 port = free.getsockname()[1]
-            member = self.spawn(f"n{rank}", self.shared.door(), rank=rank, listen=f"127.0.0.1:{port}")
+            member = self.spawn(f"n{rank}", self.shared.frontend(), rank=rank, listen=f"127.0.0.1:{port}")
             member.port = port
             members.append(member)
         with ThreadPoolExecutor(len(members)) as pool:
@@ -198,7 +198,7 @@
         self.shared.fall_silent()
         began = time.monotonic()
         self.shared.drain(*DRAINED)
-        anew = self.spawn("anew", self.shared.door())
+        anew = self.spawn("anew", self.shared.frontend())
         self.await_serving(anew)
         anew.load()
         self.pass_time(began + ALL_TOLD_S)
--- a/tests/test_drain_faults.py
+++ b/tests/test_drain_faults.py
@@ -10,14 +10,14 @@
 
 from tests.discovery_drive import drive
 from tests.drain_script import (
-    Away,
     CallFault,
     Change,
     Fault,
-    OutageOf,
+    OutageKind,
     Restart,
     Run,
     Script,
+    ScriptedOutage,
 )
 from tests.test_drain_scripts import Driven
 
@@ -33,8 +33,8 @@
     CallFault(Fault.OK, 2000.0),
     CallFault(Fault.LATE_DIAL),
 )
-AWAY = (OutageOf(9000.0, 20000.0),)
-CUT = (OutageOf(9000.0, 20000.0, Away.CUT),)
+AWAY = (ScriptedOutage(9000.0, 20000.0),)
+CUT = (ScriptedOutage(9000.0, 20000.0, OutageKind.CUT),)
 
 
 class Forced(Driven):
@@ -111,12 +111,12 @@
 class AfterAnOutage(Forced):
     """A backend began to drain while discovery was away: told 6 s after the end."""
 
-    def after(self, outages: tuple[OutageOf, ...], *faults: CallFault) -> None:
+    def after(self, outages: tuple[ScriptedOutage, ...], *faults: CallFault) -> None:
         run = Run(outages[-1].end - 1000.0, faults)
         self.in_time(Script((Change(CHANGE_MS),), outages, (run,) if faults else ()))
 
     def test_each_kind_of_outage_and_a_call_that_is_answered(self) -> None:
-        for kind in Away:
+        for kind in OutageKind:
             with self.subTest(kind):
                 self.after((replace(AWAY[0], kind=kind),))
 
@@ -142,7 +142,7 @@
         self.after(AWAY, HEAD_ONLY, DRIP)
 
     def test_slow_failures_up_to_an_outages_end_then_a_hanging_call(self) -> None:
-        self.after((OutageOf(9000.0, 20000.0, Away.ERROR, 2000.0),), MUTE)
+        self.after((ScriptedOutage(9000.0, 20000.0, OutageKind.ERROR, 2000.0),), MUTE)
 
     def test_a_cut_then_a_hanging_call(self) -> None:
         for end in (20000.0, 21000.0, 22000.0, 23000.0):  # a call hangs into its end for 2.6 s at most
@@ -153,7 +153,7 @@
         self.after(CUT, HEAD_ONLY, HEAD_ONLY)
 
     def test_a_drain_just_after_an_outage_then_two_hanging_calls(self) -> None:
-        run, outage = Run(11000.0, (MUTE, MUTE)), OutageOf(10000.0, 12000.0)
+        run, outage = Run(11000.0, (MUTE, MUTE)), ScriptedOutage(10000.0, 12000.0)
         self.in_time(Script((Change(12100.0),), (outage,), (run,)))
 
     def test_a_refused_outage_then_a_reset_and_an_answer_that_drips(self) -> None:
@@ -162,14 +162,14 @@
             self.in_time(Script((Change(CHANGE_MS),), AWAY, (run,), peers=peers))
 
     def test_an_outage_of_slow_failures_then_calls_that_fail_in_another_way(self) -> None:
-        for away in (Away.ERROR, Away.RESET):
-            outage = OutageOf(9000.0, 20000.0, away, 2000.0)
+        for away in (OutageKind.ERROR, OutageKind.RESET):
+            outage = ScriptedOutage(9000.0, 20000.0, away, 2000.0)
             for peers, faults in ((5, (MUTE,)), (5, (MUTE, MUTE)), (40, (MUTE,)), (40, (ERROR, MUTE))):
                 self.in_time(Script((Change(CHANGE_MS),), (outage,), (Run(19950.0, faults),), peers=peers))
 
     def test_an_outage_that_begins_a_second_after_one_that_hid_a_drain(self) -> None:
         # Read strictly: what the first has hidden counts as told 6 s after its end, whatever comes then.
-        outages = (OutageOf(9000.0, 17000.0), OutageOf(18000.0, 40000.0))
+        outages = (ScriptedOutage(9000.0, 17000.0), ScriptedOutage(18000.0, 40000.0))
         self.in_time(Script((Change(CHANGE_MS),), outages))
 
 
@@ -229,7 +229,7 @@
         )
 
     def test_sighup_then_an_outage_then_two_hanging_calls(self) -> None:
-        run, outage = Run(12500.0, (MUTE, MUTE)), OutageOf(10500.0, 13000.0)
+        run, outage = Run(12500.0, (MUTE, MUTE)), ScriptedOutage(10500.0, 13000.0)
         self.in_time(Script((Change(12000.0),), (outage,), (run,), moves=(10000.0,)))
 
     def test_sighup_there_and_back_with_drains_between(self) -> None:
--- a/tests/test_drain_processes.py
+++ b/tests/test_drain_processes.py
@@ -31,12 +31,12 @@
         killed.halt.set()
         killed.process.kill()
         killed.process.wait(WAIT)
-        anew = self.spawn("anew", killed.doors[0])
+        anew = self.spawn("anew", killed.frontends[0])
         self.await_serving(anew)
         anew.load()
         self.pass_time(anew.serving_at + 8.2)
         self.shared.script(BUSY, BUSY, SLOW)
-        members[1].doors[0].script = deque((BUSY, SLOW))
+        members[1].frontends[0].script = deque((BUSY, SLOW))
         told = self.shared.come_back() + ALL_TOLD_S
         self.pass_time(told + JUDGED_S)
         self.judge_recovered(told)
@@ -64,11 +64,11 @@
             (BUSY, Reply(Kind.HEAD_ONLY)),
             (BUSY, BUSY),
         )
-        doors = [self.shared.door() for _ in scripts]
-        for door, script in zip(doors, scripts, strict=True):
-            door.script.extend(script)
+        frontends = [self.shared.frontend() for _ in scripts]
+        for frontend, script in zip(frontends, scripts, strict=True):
+            frontend.script.extend(script)
         self.shared.drain(*DRAINED)
-        members = [self.spawn(f"n{i}", door, rank=i) for i, door in enumerate(doors)]
+        members = [self.spawn(f"n{i}", frontend, rank=i) for i, frontend in enumerate(frontends)]
         self.await_serving(*members)
         for member in members:
             member.load()
@@ -88,27 +88,27 @@
         self.other = self.peer(SharedDiscovery(self.rows))
         self.first = self.fleet(3)
         for member in self.first:
-            member.doors.append(self.other.door())
+            member.frontends.append(self.other.frontend())
 
     def name(self, place: int) -> None:
         """Every process is told by SIGHUP that its discovery is behind the door of this number."""
         for member in self.first:
-            config = {**member.config, "discovery": f"127.0.0.1:{member.doors[place].port}"}
+            config = {**member.config, "discovery": f"127.0.0.1:{member.frontends[place].port}"}
             member.file.write_text(json.dumps(config))
             member.process.send_signal(signal.SIGHUP)
 
     def called(self, place: int) -> None:
         for member in self.first:
-            member.doors[place].calls.get(timeout=WAIT)
+            member.frontends[place].calls.get(timeout=WAIT)
 
     def there_back_and_there(self) -> float:
         for member in self.first:
-            while not member.doors[0].calls.empty():
-                member.doors[0].calls.get()
+            while not member.frontends[0].calls.empty():
+                member.frontends[0].calls.get()
         silent = Reply(Kind.NOTHING)  # each script's first: the move back ends that call
         self.other.script(silent, BUSY, SLOW)
-        self.first[1].doors[1].script = deque((silent, BUSY, BUSY, SLOW))
-        self.first[2].doors[1].script = deque((silent, silent, BUSY, SLOW))
+        self.first[1].frontends[1].script = deque((silent, BUSY, BUSY, SLOW))
+        self.first[2].frontends[1].script = deque((silent, silent, BUSY, SLOW))
         self.shared.script(Reply(Kind.NOTHING), Reply(Kind.NOTHING))
         self.name(1)
         self.called(1)
@@ -122,7 +122,9 @@
     def test_a_delta_on_the_first_watch_counts_while_the_new_one_is_asked(self) -> None:
         drained = self.there_back_and_there()
         self.shared.drain(*DRAINED)
-        self.assertTrue(all(member.doors[0].written for member in self.first), "the first watch has ended")
+        self.assertTrue(
+            all(member.frontends[0].written for member in self.first), "the first watch has ended"
+        )
         self.pass_time(drained + ALL_TOLD_S + JUDGED_S)
         self.judge_recovered(drained + ALL_TOLD_S)
 
--- a/tests/test_drain_restarts.py
+++ b/tests/test_drain_restarts.py
@@ -13,7 +13,7 @@
 from tests.discovery_replies import BUSY, Form, Kind, Reply
 from tests.drain_discovery import CUT_S
 from tests.drain_fleet import ALL_TOLD_S, DRAINED, FleetProcessTest, Member
-from tests.drain_script import Change, OutageOf, Restart, Script
+from tests.drain_script import Change, Restart, Script, ScriptedOutage
 from tests.loopback_servers import WAIT
 from tests.test_drain_faults import Forced
 
@@ -32,7 +32,7 @@
         member.process.kill()
         member.process.wait(WAIT)
         self.pass_time(time.monotonic() + AWAY_S)
-        return self.spawn(f"{member.name}-anew", member.doors[0], rank=rank)
+        return self.spawn(f"{member.name}-anew", member.frontends[0], rank=rank)
 
     def test_a_watch_that_fell_silent_before_the_kill_and_calls_that_fail_after_it(self) -> None:
         """A backend began to drain under the silence: told 6 s after it, whoever lives then."""
@@ -59,7 +59,7 @@
     def test_the_first_bytes_of_a_delta_and_a_reset_half_a_second_later(self) -> None:
         """Of the chunk's size, of the object, and but for its last byte, to a process each."""
         for member, count in zip(self.fleet(3), (1, 6, 150), strict=True):
-            member.doors[0].form, member.doors[0].cut_bytes = Form.CUT, count
+            member.frontends[0].form, member.frontends[0].cut_bytes = Form.CUT, count
         drained = self.shared.drain(*DRAINED)
         self.pass_time(drained + 2 * JUDGED_S)
         self.judge_recovered(drained + ALL_TOLD_S)
@@ -67,7 +67,7 @@
     def test_the_first_byte_lies_unread_while_the_process_stands_still(self) -> None:
         """Requests wait there as well: they are met before the reactor has read any of it."""
         member = self.fleet(1)[0]
-        member.doors[0].form, member.doors[0].cut_bytes = Form.CUT, 1
+        member.frontends[0].form, member.frontends[0].cut_bytes = Form.CUT, 1
         member.process.send_signal(signal.SIGSTOP)
         drained = self.shared.drain(*DRAINED)
         self.pass_time(drained + CUT_S / 2)
@@ -80,7 +80,7 @@
     """A process is given an older list than its former life was told, and discovery goes down."""
 
     def test_a_start_with_an_older_list_half_a_second_before_an_outage(self) -> None:
-        restart, outage = Restart(6500.0, 300.0, stale=True), OutageOf(7100.0, 12000.0)
+        restart, outage = Restart(6500.0, 300.0, stale=True), ScriptedOutage(7100.0, 12000.0)
         self.in_time(
             Script((Change(6000.0),), (outage,), restarts=(restart,), starts_in_outages=True, rank=3)
         )
--- a/tests/test_list_input.py
+++ b/tests/test_list_input.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from lupinlink.interface import EndpointState
-from lupinlink.net.lists import MAX_LIST, ListError
+from lupinlink.net.list_format import MAX_OBJECT_BYTES, ListError
 from tests.proxy_process import chunk
-from tests.told_lists import HEAD, WRONG, Told, entry, whole_answer, without
+from tests.watch_test_case import HEAD, WRONG, WatchTestCase, entry, whole_answer, without
 
 
-class Entries(Told):
+class Entries(WatchTestCase):
     """One entry that can't be read costs no other one."""
 
     def bad(self, *entries: Any, rejected: int = 1) -> None:
@@ -119,7 +119,7 @@
                 self.discovery_client.start(none)
 
 
-class Objects(Told):
+class Objects(WatchTestCase):
     """What is no list ends the watch; the rest is taken."""
 
     def test_without_a_version_or_kind_the_entries_count(self) -> None:
@@ -151,7 +151,8 @@
     def test_bytes_that_are_no_list_end_the_watch_and_what_came_before_counts(self) -> None:
         deep = "[" * 200000
         bodies = ("{not json\n", "[1]\n", '{"rev":\n\n', '{"rev": ' + "9" * 5000 + "}\n", deep + "\n",
-                  '{"rev":1,"all":true,"targets":' + deep + "}\n", '{"a":"' + "x" * MAX_LIST)  # fmt: skip
+                  '{"rev":1,"all":true,"targets":' + deep + "}\n",
+                  '{"a":"' + "x" * MAX_OBJECT_BYTES)  # fmt: skip
         for count, body in enumerate(bodies, 1):
             with self.subTest(body=body[:40]):
                 self.begin(entry("s-1"), entry("s-2"))
--- a/tests/test_list_older.py
+++ b/tests/test_list_older.py
@@ -6,12 +6,12 @@
 import unittest
 
 from lupinlink.interface import EndpointState, MembershipKind
-from tests.told_lists import Told, entry, whole_answer
+from tests.watch_test_case import WatchTestCase, entry, whole_answer
 
 ANEW_MS = 6000.0  # only older lists for longer than this: discovery numbers anew
 
 
-class Older(Told):
+class Older(WatchTestCase):
     """An object older than the list only takes backends out of service."""
 
     def test_it_takes_out_and_brings_nothing_in(self) -> None:
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -11,15 +11,15 @@
 from lupinlink.interface import DiscoveryPartial, Membership
 from lupinlink.net import list_reader
 from lupinlink.net.list_entries import read_entry
-from lupinlink.net.list_keeper import SLICE_ENTRIES
+from lupinlink.net.list_updater import SLICE_ENTRIES
 from tests.proxy_process import chunk
-from tests.told_lists import HEAD, Told, entry
+from tests.watch_test_case import HEAD, WatchTestCase, entry
 
 MANY = 6400
 READ_BYTES = 64 * 1024  # at a time, at most
 
 
-class LongLists(Told):
+class LongLists(WatchTestCase):
     def whole(self, entries: list[Any], indent: int | None = None, piece: int = READ_BYTES) -> None:
         """One whole list on the watch, in pieces."""
         told = {"rev": 50, "all": True, "targets": entries}
@@ -80,13 +80,13 @@
         before = len(self.events)
         self.whole([entry(f"new-{number}") for number in range(MANY)])
         self.assertEqual(self.events[-1], DiscoveryPartial(True))
-        self.assertTrue(self.discovery_client.read_waiting_news())
+        self.assertTrue(self.discovery_client.read_pending_updates())
         self.seen.until(self.seen.time + 1.0)
         news = self.news_since(before)
         self.assertLessEqual(max(len(one.endpoints) for one in news), SLICE_ENTRIES)
         self.assertEqual([one.current for one in news], [False] * (len(news) - 1) + [True])
         self.assertEqual((len(self.ready()), self.events[-1]), (MANY, DiscoveryPartial(False)))
-        self.assertFalse(self.discovery_client.read_waiting_news())
+        self.assertFalse(self.discovery_client.read_pending_updates())
 
     # Guards against news that overtakes a long list, and is undone by it.
     def test_news_behind_a_long_list_waits_for_it(self) -> None:
--- a/tests/test_many_backends.py
+++ b/tests/test_many_backends.py
@@ -37,7 +37,7 @@
     # Guards against requests without an answer because each that waits asks every backend again and again.
     def test_a_hold_of_five_seconds_answers_every_request(self) -> None:
         member = self.one_process()
-        member.doors[0].script = deque((Reply(delay_s=5.0), Reply(delay_s=5.0), Reply(delay_s=5.0)))
+        member.frontends[0].script = deque((Reply(delay_s=5.0), Reply(delay_s=5.0), Reply(delay_s=5.0)))
         self.shared.end_watches()
         self.load(member, 8.0)
 
@@ -79,11 +79,11 @@
     # Guards against a new discovery's list that keeps requests from their answers.
     def test_new_configurations_in_a_row_lose_no_request(self) -> None:
         member = self.one_process()
-        doors = [self.shared.door() for _ in range(3)]
+        frontends = [self.shared.frontend() for _ in range(3)]
 
         def reload() -> None:
-            for door in doors:
-                member.config["discovery"] = f"127.0.0.1:{door.port}"
+            for frontend in frontends:
+                member.config["discovery"] = f"127.0.0.1:{frontend.port}"
                 member.file.write_text(json.dumps(member.config))
                 member.process.send_signal(signal.SIGHUP)
                 time.sleep(1.0)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -19,7 +19,7 @@
 from lupinlink.net.bodies import Body
 from lupinlink.net.counters import Counters
 from lupinlink.net.deadlines import STALE_FLOOR, Deadlines
-from lupinlink.net.lists import number
+from lupinlink.net.list_format import index_or_unknown
 from lupinlink.net.log import pair
 from lupinlink.net.proxy import AttemptResult, ClientRequest, FailureReason, Proxy, Reply
 from lupinlink.net.slots import Slots
@@ -81,7 +81,7 @@
         self.assertEqual(read_report("TEXT busy=0.478, rate=67.6"), {"utilization": 0.478, "rate": 67.6})
         for noise in ("nan", "inf", "-inf", "-1", "1e9", "1e999", "0x1", ""):
             self.assertEqual(read_report(f"TEXT busy={noise}, rate=5"), {"rate": 5.0}, noise)
-        self.assertEqual([number(("a", "b"), z) for z in ("b", "c", None)], [1, 2, 2])
+        self.assertEqual([index_or_unknown(("a", "b"), z) for z in ("b", "c", None)], [1, 2, 2])
         self.assertEqual(pair("why", 'a "b"\nc'), 'why="a \\"b\\"\\nc"')
 
 
--- a/tests/test_news_before_write.py
+++ b/tests/test_updates_before_write.py
@@ -15,7 +15,7 @@
 from lupinlink.net.bodies import SMALL_BYTES
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
-from lupinlink.net.lists import MAX_LIST
+from lupinlink.net.list_format import MAX_OBJECT_BYTES
 from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.socket_peek import peek
 from lupinlink.settings import Settings
@@ -47,12 +47,12 @@
                 self.loop.learn()
                 server = self.loop.kept()[0] if kept else None
                 before = self.servers.counters["attempts_not_begun"]
-                self.servers.read_waiting_news = news_that(change)
+                self.servers.read_pending_updates = news_that(change)
                 ends = begin()
                 self.until_ended(ends)
                 if server is None:
                     server, _ = self.loop.listener.accept()
-                self.servers.read_waiting_news = lambda: False
+                self.servers.read_pending_updates = lambda: False
                 self.turn()
                 self.assertEqual([end.status for end in ends], [Status.NOT_SENT])
                 self.assertEqual(self.servers.counters["attempts_not_begun"], before + 1)
@@ -90,7 +90,7 @@
             return start(attempt)
 
         self.servers._send = send  # type: ignore[method-assign]
-        self.servers.read_waiting_news = news_that(lambda: attempts[0].give_up(Status.CANCELLED))
+        self.servers.read_pending_updates = news_that(lambda: attempts[0].give_up(Status.CANCELLED))
         _, ends = self.loop.attempt()
         self.turn()
         self.assertEqual([end.status for end in ends], [Status.CANCELLED])
@@ -110,7 +110,7 @@
             self.reactor, self.loop.clock, address, settings, self.servers, Counters()
         )
         self.addCleanup(self.discovery_client.stop)
-        self.servers.read_waiting_news = self.discovery_client.read_waiting_news
+        self.servers.read_pending_updates = self.discovery_client.read_pending_updates
         self.server, _ = self.loop.kept()
         self.discovery_client.call()
         self.loop.turn_until(self.discovery.watches.qsize)
@@ -156,7 +156,7 @@
     def test_behind_more_than_one_read_can_hold(self) -> None:
         self.live()
         pieces = [self.told(state="in_service", model="x" * 60_000)] * 4
-        self.watch.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_LIST)
+        self.watch.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_OBJECT_BYTES)
         self.wait_for(b"".join(pieces) + self.told())
         self.assert_unsent()
 
@@ -166,12 +166,12 @@
         assert live is not None
         self.watch.shutdown(socket.SHUT_RDWR)  # its end waits unread: the reactor's
         self.assertTrue(select.select([live.transport.getHandle()], [], [], WAIT)[0])
-        self.discovery_client.read_waiting_news()
+        self.discovery_client.read_pending_updates()
         self.loop.turn_until(lambda: self.discovery_client._live is None)
         self.assertFalse(live.read_waiting())
         self.assertEqual(peek(live.transport), b"")
         self.discovery_client.call()
-        self.discovery_client.read_waiting_news()
+        self.discovery_client.read_pending_updates()
         _, ends = self.loop.attempt()
         self.assertIn(b"X-Expires-In-Ms", self.came(self.server))
         self.assertEqual(ends, [])
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -104,9 +104,9 @@
             cross(server)
             self.loop.unread(connection)
 
-        self.servers.read_waiting_news = news_that(between)
+        self.servers.read_pending_updates = news_that(between)
         _, ends = self.loop.attempt()
-        self.servers.read_waiting_news = lambda: False
+        self.servers.read_pending_updates = lambda: False
         self.until_ended(ends)
         self.turn()
         self.assertEqual(len(ends), 1)
--- a/tests/told_lists.py
+++ b/tests/watch_test_case.py
@@ -48,7 +48,7 @@
     return b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-class Told(unittest.TestCase):
+class WatchTestCase(unittest.TestCase):
     """A farm that holds s-1 and s-2 ready at version 41, and a watch that was asked for."""
 
     def setUp(self) -> None:
@@ -64,7 +64,7 @@
         self.discovery_client = DiscoveryClient(
             reactor, clock, ("127.0.0.1", 1), settings, self.servers, self.counters
         )
-        self.discovery_client.tell = self.hear
+        self.discovery_client.on_event = self.hear
         self.seen.timers.clear()
         self.begin(entry("s-1"), entry("s-2"))
         self.discovery_client.call()
