--- a/lupinlink/lab/virtual.py
+++ b/lupinlink/lab/virtual.py
@@ -340,7 +340,7 @@
                 rows = list(world.roster.rows.values())
                 world.roster.hear(i, partial(self._tell, i))
                 world.told.start(i, rows)
-                self.proxies[i].news(MembershipKind.CACHED, [_copy(row) for row in rows])
+                self.proxies[i].membership_changed(MembershipKind.CACHED, [_copy(row) for row in rows])
             world.start()
             self.clock.at(self.clock.now() + 1000.0, self._sweep)
             end = world.began + world.scenario.seconds * 1000.0
@@ -364,7 +364,7 @@
 
     def _tell(self, proxy: int, kind: MembershipKind, rows: list[Endpoint]) -> None:
         self.world.told.rows(proxy, kind, rows)
-        self.proxies[proxy].news(kind, rows)
+        self.proxies[proxy].membership_changed(kind, rows)
 
     def _sweep(self) -> None:
         now = self.clock.now()
@@ -395,7 +395,7 @@
             name, ask.want.class_index, ask.want.member, ask.deadline - now, ask.is_retry, "GET",
             f"/{names[ask.want.class_index]}/{ask.want.key}", [], Body.from_bytes(b""), str(ask.want.key),
         )  # fmt: skip
-        handle = self.proxies[ask.proxy].take(call, agent)
+        handle = self.proxies[ask.proxy].submit(call, agent)
         agent.handle = handle
 
     def _leave(self, ask: Ask) -> None:
@@ -407,7 +407,7 @@
         if agent is not None and not agent.answered:
             self.world.referee.left(ask.name, self.clock.now())
             if agent.handle is not None:
-                self.proxies[ask.proxy].gone(agent.handle)
+                self.proxies[ask.proxy].client_left(agent.handle)
 
     def _over(self, request: Try) -> None:
         self.asks.pop(request.name, None)
--- a/lupinlink/net/open_requests.py
+++ b/lupinlink/net/open_requests.py
@@ -33,9 +33,7 @@
     guard_timer: int = 0
     attempts_in_flight: int = 0
     server: str = ""  # of the last attempt
-    committed: bool = (
-        False  # its body cannot be sent again: the attempt in flight is the last; the module is done
-    )
+    committed: bool = False  # its body cannot be sent again: the attempt in flight is the last one
     may_have_run: bool = False  # at least one attempt may have been executed by its server
     attempts: list[OpenAttempt] = field(default_factory=list)
 
--- a/lupinlink/net/request_types.py
+++ b/lupinlink/net/request_types.py
@@ -81,6 +81,7 @@
     def failed(self, why: FailureReason) -> None: ...
     def has_left(self) -> bool:
         """Whether the client has closed its connection."""
+        ...
 
 
 class OpenAttempt(Protocol):
