--- a/tests/recording_reactor.py
+++ b/tests/recording_reactor.py
@@ -1,4 +1,4 @@
-"""A reactor and a clock that only take down what they are asked: time passes when a test says so."""
+"""A reactor and clock that record dials and timers; a test moves the time forward."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from lupinlink.net.loop_iterations import LoopIterations
 from lupinlink.net.timer_wheel import Timer
 from lupinlink.net.watch import Watch
-from lupinlink.net.watch_dial import WatchDial
+from lupinlink.net.watch_factory import WatchFactory
 
 
 class RecordingReactor:
-    """A reactor and a clock that only take down what they are asked."""
+    """Records dials and timers; serves as reactor and as clock."""
 
     def __init__(self) -> None:
         self.dials: list[Watch] = []
@@ -19,7 +19,7 @@
         self.time = 1000.0
         self.iterations = LoopIterations()
 
-    def connectTCP(self, host: str, port: int, factory: WatchDial, timeout: object) -> RecordingReactor:  # noqa: N802
+    def connectTCP(self, host: str, port: int, factory: WatchFactory, timeout: object) -> RecordingReactor:  # noqa: N802
         self.dials.append(factory.buildProtocol(None))
         return self
 
@@ -33,7 +33,7 @@
         return self.timers[-1][1]
 
     def until(self, time: float) -> None:
-        """Let all timers that come due by then fire, in order."""
+        """Move the time forward, and fire the timers that come due, in order."""
         while self.timers and min(at for at, _ in self.timers) <= time:
             due = min(self.timers, key=lambda pair: pair[0])
             self.timers.remove(due)
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -11,7 +11,7 @@
 from lupinlink.brain.discovery_times import MAX_HOLD_MS
 from lupinlink.interface import DiscoveryCallFailed, DiscoveryWatchEnded, Settings
 from tests.discovery_drive import ROUNDING_MS, drive
-from tests.drain_script import Away, Change, OutageOf, Restart, Script
+from tests.drain_script import Change, OutageKind, Restart, Script, ScriptedOutage
 from tests.helpers import SAFE
 from tests.test_drain_faults import SEEDS, Forced
 
