--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -83,7 +83,7 @@
 
 
 def test_long_answers_with_low_utilization_refuse_nobody() -> None:
-    # Judged by delay alone, a period counts as loaded if the service time is over half the target latency: then
+    # Judged by its delay, a period counts as loaded if the service time is over half the target latency: then
     # E[X] would never be learnt and refusing never end.
     admission = Admission(2, 0.3)
     for _ in range(20):
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -16,8 +16,8 @@
 from tests.test_drain_faults import SEEDS, Forced
 
 LATE_FAILURE_MS = 2000.0  # a call fails this late
-OUTAGE = OutageOf(9000.0, 40000.0, Away.ERROR, LATE_FAILURE_MS)
-RESET_OUTAGE = OutageOf(9000.0, 40000.0, Away.RESET, LATE_FAILURE_MS)
+OUTAGE = ScriptedOutage(9000.0, 40000.0, OutageKind.ERROR, LATE_FAILURE_MS)
+RESET_OUTAGE = ScriptedOutage(9000.0, 40000.0, OutageKind.RESET, LATE_FAILURE_MS)
 FAILED_CALL_MS = 2500.0  # a call that fails late, and the backoff before it
 DETECTION_MS = 8400.0  # five calls that fail late, up to three at a time, the backoffs, a request's time
 ENDED_LATE = DiscoveryCallFailed(connected=True, answered=False, took_ms=LATE_FAILURE_MS, refused=True)
