--- a/lupinlink/net/discovery_client.py
+++ b/lupinlink/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of service discovery: its list of backends, and the watch that keeps it fresh."""
+"""The client of service discovery, which keeps the list of backends up to date by a watch."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from lupinlink.settings import Settings
 
 log = logging.getLogger(__name__)
-LOOKS = 4  # at most, for what waits unread: what is read takes time in which more may come
+MAX_READ_PASSES = 4  # over all connections, since more may arrive while they are read
 
 
 class DiscoveryClient:
-    """Keeps the list; a change goes to the pools and to the module at once.
+    """Makes calls to discovery and publishes changes of the list to connection pools and decision module.
 
-    When discovery is called is the module's decision (``brain/discovery``); here calls are carried out, and
-    what became of each is reported.
+    The decision module (``lupinlink.brain.discovery``) decides when to call; this class makes the calls and
+    reports the result of each to ``on_event``.
     """
 
     def __init__(
@@ -47,201 +47,202 @@
         self.on_event: Callable[[api.Membership | api.DiscoveryEvent], None] = lambda event: None
         self._log = DiscoveryLog(counters, settings.subscribe)
         self.log_trust = self._log.trust
-        self._keeper = ListUpdater(
+        self._updater = ListUpdater(
             clock, settings, servers, counters, self._log, lambda event: self.on_event(event)
         )
-        self._intake = ListUpdateQueue(clock, self._settled)
-        self._looking = False  # whether older objects leave the list behind is looked at soon
+        self._queue = ListUpdateQueue(clock, self._on_queue_idle)
+        self._recheck_scheduled = False
         self._times = DiscoveryTimes.of(settings)
-        self._live: Watch | None = None  # the watch that has told last
-        self._asked: list[Watch] = []  # calls that have told nothing yet
-        self._foreign = False  # the whole list has to be asked for first
-        self._renumbered = False  # the list is still that of another discovery, with its own versions
-        self._pushed = not settings.subscribe  # the address is that of an agent on this machine
+        self._watch: Watch | None = None  # the connection that delivered last
+        self._calls: list[Watch] = []  # calls that have delivered nothing yet
+        self._needs_full = False  # the next call has to request the full list before it watches
+        self._moved = False  # the list, and so its version, is still that of the former discovery
+        self._pushed = not settings.subscribe  # a local agent is called, which pushes the lists
         self._stopped = False
 
     def __len__(self) -> int:
-        return len(self._keeper)
+        return len(self._updater)
 
     @property
     def version(self) -> int:
-        """The list's."""
-        return self._keeper.version
+        """The version of the list."""
+        return self._updater.version
 
     @property
     def ready(self) -> int:
-        """Application servers that take work."""
-        return self._keeper.ready
+        """Number of backends that take new requests."""
+        return self._updater.ready
 
     def start(self, known: Mapping[str, Any]) -> None:
-        """The list as this proxy last had it; it may be out of date.
+        """Load the list that this proxy knew last; raises ListError if it is invalid.
 
-        Danger: what the agent has, or a former process was told, counts from this process's first moment on.
+        It may be out of date: what a local agent has, or the previous process was notified of, counts now.
         """
         self.on_event(api.ProcessStarted())
         if not known:
             known = {"rev": 0, "all": True, "targets": []}
-        self._keeper.begin(known)
-        self._log.started(self.version, self._keeper.entries(), self._settings)
+        self._updater.load(known)
+        self._log.started(self.version, self._updater.entries(), self._settings)
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as it stands, in discovery's form."""
-        return self._keeper.snapshot()
+        """Return the list in discovery's JSON format."""
+        return self._updater.snapshot()
 
     def call(self) -> None:
-        """Call discovery: its list, if it is another one than before, and a watch on what changes."""
-        if self._stopped or (self._live is not None and not self._foreign):
+        """Call discovery for a watch, and for the full list before it where that is needed."""
+        if self._stopped or (self._watch is not None and not self._needs_full):
             return
         self._counters["watches"] += 1
-        watch = Watch(self, self.clock, self._times, self._discovery, self._foreign, self._pushed)
+        watch = Watch(self, self.clock, self._times, self._discovery, self._needs_full, self._pushed)
         watch.number = self._counters["watches"]
-        self._asked.append(watch)
+        self._calls.append(watch)
         self._log.called(watch, self.version)
         watch.ended.addCallback(self._ended, watch)
         watch.dial(self._reactor)
 
     def move(self, discovery: tuple[str, int]) -> None:
-        """Discovery is at another address from now on.
+        """Use another address of discovery from now on.
 
-        The old watch goes on until the new one has told: without one, a drain could pass unheard.
+        The old watch stays open until a new one has delivered, because a drain could be missed in between.
         """
         if discovery == self._discovery:
             return
-        self._discovery, self._renumbered = discovery, True
-        if self._live is None and self._asked:
-            self._live = max(self._asked, key=lambda call: call.answered)
-            self._asked.remove(self._live)
-        self._call_for_whole("moved")
-
-    def _call_for_whole(self, why: str) -> None:
-        """The whole list has to be asked for; calls that were made for less are over."""
-        self._foreign = True
-        self._drop_calls(why)
+        self._discovery, self._moved = discovery, True
+        if self._watch is None and self._calls:
+            self._watch = max(self._calls, key=lambda call: call.answered)
+            self._calls.remove(self._watch)
+        self._request_full_list("moved")
+
+    def _request_full_list(self, why: str) -> None:
+        """Close all calls, and have one made that requests the full list."""
+        self._needs_full = True
+        self._close_calls(why)
         self.on_event(api.DiscoveryMoved())
 
-    def late(self, watch: Watch) -> None:
-        """A call still waits."""
-        if watch in self._asked:
+    def on_late(self, watch: Watch) -> None:
+        if watch in self._calls:
             self.on_event(api.DiscoveryCallLate())
 
-    def reached(self, watch: Watch) -> None:
-        """The connection of a call came up."""
-        if watch in self._asked:
+    def on_reached(self, watch: Watch) -> None:
+        if watch in self._calls:
             self._log.reached(watch)
-            beside_watch = watch.asks_whole and self._live is not None
+            beside_watch = watch.requests_full_list and self._watch is not None
             self.on_event(api.DiscoveryCallReached(watch.number, beside_watch))
 
-    def answered(self, watch: Watch) -> None:
-        """A call has a good head."""
-        if watch in self._asked:
+    def on_answered(self, watch: Watch) -> None:
+        if watch in self._calls:
             self._log.answered(watch)
             self.on_event(api.DiscoveryCallAnswered())
 
-    def partial(self, watch: Watch) -> None:
-        """Something has begun on one of them and not come whole, or has come whole."""
+    def on_partial(self, watch: Watch) -> None:
         self.on_event(api.DiscoveryPartial(self._has_partial()))
 
-    def unchanged(self, watch: Watch) -> None:
-        """Nothing has changed since the list that we have."""
-        if watch in self._asked and not self._foreign and not self._intake.busy:
-            self._stands(watch)
+    def on_unchanged(self, watch: Watch) -> None:
+        if watch in self._calls and not self._needs_full and not self._queue.busy:
+            self._promote(watch)
             self.on_event(api.Membership(api.MembershipKind.DELTA))
 
-    def take(self, watch: Watch, raw: Any, full: bool = False) -> None:
-        """One object of a watch. The first one of a new watch ends the old one, and nothing sooner."""
-        new = watch in self._asked
-        if not new and watch is not self._live:
+    def on_object(self, watch: Watch, raw: Any, full: bool = False) -> None:
+        """Apply an object. Only once the first one of a new watch is applied is the old watch closed."""
+        is_call = watch in self._calls
+        if not is_call and watch is not self._watch:
             return
         full = full or (isinstance(raw, dict) and raw.get("all") is True)
         kind = api.MembershipKind.FULL if full else api.MembershipKind.DELTA
-        may_confirm = new or not self._foreign
+        may_confirm = is_call or not self._needs_full
 
         def is_current() -> bool:
-            return may_confirm and watch is self._live
-
-        def taken() -> None:
-            self._look_whether_behind()
-            if watch in self._asked:
-                self._foreign = self._renumbered = False
-                self._stands(watch)
-
-        told = ListUpdate(raw, kind, new and self._renumbered, is_current)
-        self._intake.take(QueuedUpdate(self._keeper.taking(told, taken), lambda error: watch.end(str(error))))
-        if self._intake.busy:
+            return may_confirm and watch is self._watch
+
+        def on_applied() -> None:
+            self._schedule_recheck()
+            if watch in self._calls:
+                self._needs_full = self._moved = False
+                self._promote(watch)
+
+        update = ListUpdate(raw, kind, is_call and self._moved, is_current)
+        self._queue.add(
+            QueuedUpdate(
+                self._updater.apply_in_slices(update, on_applied), lambda error: watch.end(str(error))
+            )
+        )
+        if self._queue.busy:
             self.on_event(api.DiscoveryPartial(True))
 
-    def _stands(self, watch: Watch) -> None:
-        """This watch has told: the one before it and all other calls are over."""
-        old, self._live = self._live, watch
-        self._asked.remove(watch)
-        self._log.stands(watch, self.version)
-        self._drop_calls("another watch has told")
+    def _promote(self, watch: Watch) -> None:
+        """Make this call the watch, since it has delivered; close the former watch and all other calls."""
+        old, self._watch = self._watch, watch
+        self._calls.remove(watch)
+        self._log.established(watch, self.version)
+        self._close_calls("another watch has told")
         if old is not None:
             old.end("another watch has told")
 
-    def _drop_calls(self, why: str) -> None:
-        calls, self._asked = self._asked, []
+    def _close_calls(self, why: str) -> None:
+        calls, self._calls = self._calls, []
         for call in calls:
             call.end(why)
 
     def read_pending_updates(self) -> bool:
-        """Read what discovery has written already, until a look at each watch finds nothing.
+        """Read from all connections until nothing is unread.
 
-        Returns whether some of it has not come whole: then the list may be out of date.
+        Return whether an update is incomplete, so that the list may be out of date.
         """
-        for _ in range(LOOKS):
-            were_read = [watch.read_waiting() for watch in self._watches()]  # each, whatever the first says
-            if not any(were_read):
+        for _ in range(MAX_READ_PASSES):
+            found_data = [watch.read_pending() for watch in self._connections()]  # a list: no short circuit
+            if not any(found_data):
                 break
         return self._has_partial()
 
     def _has_partial(self) -> bool:
-        # After a move the former discovery's watch is heard, and the new list counts only some time later.
-        return self._intake.busy or any(watch.partial and not watch.asks_whole for watch in self._watches())
+        # Requests for the full list are left out: after a move the former watch still delivers, and what the
+        # new discovery has counts as notified only some time later.
+        return self._queue.busy or any(
+            watch.partial and not watch.requests_full_list for watch in self._connections()
+        )
 
-    def _watches(self) -> list[Watch]:
-        """The one that has told last, and the calls that are out."""
-        return [*self._asked, *([self._live] if self._live is not None else [])]
+    def _connections(self) -> list[Watch]:
+        """All open connections: calls, and the watch."""
+        return [*self._calls, *([self._watch] if self._watch is not None else [])]
 
     def stop(self) -> None:
-        """Watch no longer, and tell nobody."""
+        """Close all connections, without further events."""
         self.on_event = lambda event: None
         self._stopped = True
-        self._drop_calls("stopping")
-        if self._live is not None:
-            self._live.end("stopping")
+        self._close_calls("stopping")
+        if self._watch is not None:
+            self._watch.end("stopping")
 
     def withhold(self, names: frozenset[str]) -> None:
-        """Take these out of use here, whatever discovery says of them: it only narrows what is sent to."""
-        self._keeper.withhold(names)
+        """Send nothing to these backends, whatever discovery says of them; this replaces earlier names."""
+        self._updater.withhold(names)
 
-    def _settled(self) -> None:
-        """No object is on its way in any more."""
+    def _on_queue_idle(self) -> None:
         self.on_event(api.DiscoveryPartial(self._has_partial()))
 
-    def _look_whether_behind(self) -> None:
-        """Soon, if older objects came; only a whole list sets that right."""
-        if self._keeper.behind and not self._looking:
-            self._looking = True
-            self.clock.after(VERSION_RESET_MS + 1.0, self._ask_whole)
+    def _schedule_recheck(self) -> None:
+        """Check later whether older updates have left the list incomplete."""
+        if self._updater.is_incomplete and not self._recheck_scheduled:
+            self._recheck_scheduled = True
+            self.clock.after(VERSION_RESET_MS + 1.0, self._recheck)
 
-    def _ask_whole(self) -> None:
-        """Older objects left the list behind: ask for the whole one; the old watch is heard until then."""
-        self._looking = False
-        if self._keeper.behind and not self._foreign and not self._stopped:
+    def _recheck(self) -> None:
+        """Request the full list if it is still needed; the old watch stays open until it has come."""
+        self._recheck_scheduled = False
+        if self._updater.is_incomplete and not self._needs_full and not self._stopped:
             log.warning("older lists came, the whole one is asked for", extra={"kv": {"rev": self.version}})
-            self._call_for_whole("the whole list is asked for")
+            self._request_full_list("the whole list is asked for")
 
     def _ended(self, end: WatchEnd, watch: Watch) -> None:
         self._log.ended(end, watch, self.version, self._times.silence_timeout_ms)
-        if watch in self._asked:
-            self._asked.remove(watch)
-            self.on_event(end.as_failed_call(watch.number, watch.asks_whole))
-        elif watch is self._live:
-            self._live = None
+        if watch in self._calls:
+            self._calls.remove(watch)
+            self.on_event(end.as_failed_call(watch.number, watch.requests_full_list))
+        elif watch is self._watch:
+            self._watch = None
             self.on_event(
-                api.DiscoveryWatchEnded(end.heard_at, end.silent, at_previous_address=self._foreign)
+                api.DiscoveryWatchEnded(end.last_active_at, end.silent, at_previous_address=self._needs_full)
             )
-            for call in self._asked:  # from now on no other watch tells what their answers would
+            for call in self._calls:  # from now on only their responses can deliver updates
                 if call.reached:
                     self.on_event(api.DiscoveryCallReached(call.number))
--- a/lupinlink/net/discovery_log.py
+++ b/lupinlink/net/discovery_log.py
@@ -1,6 +1,6 @@
-"""What staff on call need of discovery in the log: each call, each watch, each change of the list.
+"""Log lines about discovery: each call, each watch and each change of the list.
 
-Every line carries ``call``, the number of the call in this process, so that one call can be followed from its
+Lines about a call carry ``call``, its number in this process, by which one call can be followed from its
 dial to its end.
 """
 
@@ -20,25 +20,25 @@
 if TYPE_CHECKING:
     from lupinlink.net.watch import Watch
 
-log = logging.getLogger("lupinlink.net.discovery_client")  # one source in the log for all of discovery
-NAMES = 4  # of backends on one line, at most
+log = logging.getLogger("lupinlink.net.discovery_client")  # one log source for all discovery modules
+MAX_NAMES = 4  # of backends on one line
 
 
 class DiscoveryLog:
-    """Writes the lines; keeps nothing but counters."""
+    """Writes the log lines and counts watches and rejected entries."""
 
-    def __init__(self, counters: Counters, asked: bool) -> None:
-        """``asked``: discovery is; an agent that is away is called too often for a line each."""
+    def __init__(self, counters: Counters, subscribes: bool) -> None:
+        """``subscribes``: False if a local agent is called, which happens too often for INFO."""
         self._counters = counters
-        self._calls_level = logging.INFO if asked else logging.DEBUG
+        self._calls_level = logging.INFO if subscribes else logging.DEBUG
 
     def started(self, version: int, entries: list[ListEntry], settings: Settings) -> None:
-        """The list that this process starts with, and what decides how long it is relied on."""
+        """The process starts with this list; the settings decide how long it is relied on."""
         leaving = [entry.endpoint.name for entry in entries if not entry.ready]
         kv = {
             "rev": version,
             "ready": len(entries) - len(leaving),
-            "leaving": _some(leaving),
+            "leaving": _abbreviated(leaving),
             "mode": "asked" if settings.subscribe else "pushed",
             "peers": settings.peers,
             "rank": settings.rank,
@@ -47,41 +47,46 @@
         log.info("known list", extra={"kv": kv})
 
     def called(self, watch: Watch, version: int) -> None:
-        """A call to discovery begins."""
-        kv = {"call": watch.number, "rev": version, "whole": int(watch.asks_whole), "at": watch.address[0]}
+        """A call to discovery is made."""
+        kv = {
+            "call": watch.number,
+            "rev": version,
+            "whole": int(watch.requests_full_list),
+            "at": watch.address[0],
+        }
         log.log(self._calls_level, "discovery called", extra={"kv": kv})
 
     def reached(self, watch: Watch) -> None:
-        """Its connection came up, and the request was written: from here on it may be answered."""
-        kv = {"call": watch.number, "after_ms": int(watch.age())}
+        """The connection of a call is up and its request is written."""
+        kv = {"call": watch.number, "after_ms": int(watch.age_ms())}
         log.log(self._calls_level, "discovery reached", extra={"kv": kv})
 
     def answered(self, watch: Watch) -> None:
-        """A good head came."""
-        kv = {"call": watch.number, "after_ms": int(watch.age())}
+        """The head of a 200 response arrived."""
+        kv = {"call": watch.number, "after_ms": int(watch.age_ms())}
         log.log(self._calls_level, "discovery answered", extra={"kv": kv})
 
-    def stands(self, watch: Watch, version: int) -> None:
-        """A call has told, and is the watch from now on."""
-        kv = {"call": watch.number, "rev": version, "after_ms": int(watch.age())}
+    def established(self, watch: Watch, version: int) -> None:
+        """A call has delivered something, and is the watch from now on."""
+        kv = {"call": watch.number, "rev": version, "after_ms": int(watch.age_ms())}
         log.info("watch stands", extra={"kv": kv})
 
     def changed(self, version: int, kind: str, entries: Iterable[ListEntry]) -> None:
-        """An object was taken; ``entries`` are those that it changed."""
-        named = list(entries)
-        if named:
-            leaving = [entry.endpoint.name for entry in named if not entry.ready]
-            kv = {"rev": version, "list": kind, "entries": len(named), "leaving": _some(leaving)}
+        """An update was applied; ``entries`` are those that it changed."""
+        changed = list(entries)
+        if changed:
+            leaving = [entry.endpoint.name for entry in changed if not entry.ready]
+            kv = {"rev": version, "list": kind, "entries": len(changed), "leaving": _abbreviated(leaving)}
             log.info("list changed", extra={"kv": kv})
 
-    def rejected(self, told: ListObject, kind: str) -> None:
-        """Entries of an object could not be read."""
-        self._counters["list_entries_rejected"] += told.rejected
-        kv = {"count": told.rejected, "first": told.fault, "rev": told.version, "list": kind}
+    def rejected(self, update: ListObject, kind: str) -> None:
+        """Entries of an update could not be read, or only in part."""
+        self._counters["list_entries_rejected"] += update.rejected
+        kv = {"count": update.rejected, "first": update.fault, "rev": update.version, "list": kind}
         log.warning("entries of a list can't be read", extra={"kv": kv})
 
     def ended(self, end: WatchEnd, watch: Watch, version: int, silence_ms: float) -> None:
-        """A call or a watch is over."""
+        """A call or a watch ended."""
         kv = {
             "why": end.why,
             "rev": version,
@@ -93,7 +98,7 @@
         }
         self._counters["watches_ended"] += 1
         if end.silent and end.answered:
-            # An operator has to see it: from here on this proxy may not know what everybody else knows.
+            # A warning, because from now on this proxy may miss changes that all others know.
             self._counters["watches_silent"] += 1
             kv["for_ms"] = int(silence_ms)
             log.warning("watch fell silent, asked anew", extra={"kv": kv})
@@ -101,7 +106,7 @@
             log.info("watch ended", extra={"kv": kv})
 
     def trust(self, change: ListTrustChanged) -> None:
-        """Whether requests are sent by the list has changed."""
+        """Whether the list is relied on has changed."""
         if change.trust is ListTrust.HELD:
             self._counters["list_holds"] += 1
         kv = {"now": change.trust.value, "unconfirmed_ms": int(change.unconfirmed_ms)}
@@ -110,7 +115,7 @@
         log.info("list trust", extra={"kv": kv})
 
 
-def _some(names: list[str]) -> str:
-    """The first of these names, and how many more there are."""
-    more = f"+{len(names) - NAMES}" if len(names) > NAMES else ""
-    return ",".join(names[:NAMES]) + more
+def _abbreviated(names: list[str]) -> str:
+    """Return the first names, and how many more there are."""
+    more = f"+{len(names) - MAX_NAMES}" if len(names) > MAX_NAMES else ""
+    return ",".join(names[:MAX_NAMES]) + more
--- a/lupinlink/net/list_entries.py
+++ b/lupinlink/net/list_entries.py
@@ -1,4 +1,4 @@
-"""One entry of discovery's lists: what can be read of it, and how a backend counts where that fails."""
+"""Reads one entry of discovery's lists; a backend whose entry is invalid is treated as draining."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ListEntry:
-    """One backend as a list tells it. With a ``fault`` it is never ready."""
+    """One backend as a list describes it. With a ``fault`` it is never ready."""
 
     endpoint: Endpoint
-    host: str = ""  # empty, and port 0: no address could be read
+    host: str = ""  # empty, with port 0, if no valid address was given
     port: int = 0
-    zone: str = ""  # zone and kind by name: a successor numbers them by its own settings
+    zone: str = ""  # zone and kind by name: the next process has its own settings, and so its own indexes
     kind: str = ""
-    fault: str = ""  # what could not be read; empty: nothing
+    fault: str = ""  # what is invalid; empty for a valid entry
 
     @property
     def ready(self) -> bool:
-        """Whether it takes new requests."""
+        """Whether the backend takes new requests."""
         return self.endpoint.state == EndpointState.READY
 
     @property
     def is_gone(self) -> bool:
-        """Whether it is on the list no longer."""
+        """Whether the backend has left the list."""
         return self.endpoint.state == EndpointState.GONE
 
     def with_state(self, state: EndpointState) -> ListEntry:
-        """The same backend in another state."""
+        """Return a copy with another state."""
         return replace(self, endpoint=replace(self.endpoint, state=state))
 
-    def written(self) -> dict[str, Any]:
-        """The entry in discovery's form; what could not be read is set right."""
+    def as_json(self) -> dict[str, Any]:
+        """Return the entry in discovery's JSON format, with defaults in place of invalid values."""
         endpoint = self.endpoint
         return {
             "uid": endpoint.name,
@@ -59,26 +59,26 @@
 
 
 def read_entry(item: object, settings: Settings) -> ListEntry | None:
-    """Read one entry; None if it does not name a backend.
+    """Read one entry; return None if it does not name a backend.
 
-    Danger: a backend whose state, address or start can't be read must not be sent to: it may be draining.
+    A backend whose state, address or start time is invalid must get no requests: it may be draining.
     """
     if not isinstance(item, dict) or not (name := _name(item.get("uid"))):
         return None
-    faults = [] if _fits_header(name) else ["uid: fits no header"]
+    faults = [] if _fits_header(name) else ["uid: not Latin-1, which a Host header needs"]
     state = STATE_BY_NAME.get(item["state"]) if isinstance(item.get("state"), str) else None
     if state is None:
         faults.append("state: missing or unknown")
         state = EndpointState.DRAINING
-    started_ms = _figure(item.get("boot_ms"), 0.0)
+    started_ms = _finite_number(item.get("boot_ms"), 0.0)
     if started_ms is None:
-        faults.append("boot_ms: no time")
-    found = _backend_address(item.get("endpoint"))
-    if found is None and state != EndpointState.GONE:  # who is gone needs no address
-        faults.append("endpoint: no host:port")
+        faults.append("boot_ms: not a time in ms")
+    host_and_port = _backend_address(item.get("endpoint"))
+    if host_and_port is None and state != EndpointState.GONE:  # a backend that is gone needs no address
+        faults.append("endpoint: not host:port")
     if faults and state == EndpointState.READY:
         state = EndpointState.DRAINING
-    host, port = found or ("", 0)
+    host, port = host_and_port or ("", 0)
     zone, kind = item.get("az"), item.get("model")
     endpoint = Endpoint(
         name=name,
@@ -93,19 +93,19 @@
 
 
 def index_or_unknown(names: tuple[str, ...], name: object) -> int:
-    """The settings' number of a zone or kind; all unknown ones are one more of their own."""
+    """Return the index of a zone or kind in the settings; all unknown ones share the index after the last."""
     return names.index(name) if name in names else len(names)
 
 
 def _name(uid: object) -> str:
-    """A backend's name; empty if there is none that can be kept and logged."""
+    """Return a backend's name; empty if there is none that can be logged."""
     if isinstance(uid, int) and not isinstance(uid, bool):
         return str(uid)
     return uid if isinstance(uid, str) and uid.isprintable() else ""
 
 
 def _fits_header(name: str) -> bool:
-    """Probes carry the name in their Host header, which goes out as Latin-1."""
+    """Probes carry the name in their Host header, which is written as Latin-1."""
     return all(ord(character) < 0x100 for character in name)
 
 
@@ -113,35 +113,35 @@
     return value if isinstance(value, str) else ""
 
 
-def _figure(value: object, default: float) -> float | None:
-    """A finite number, or the default where there is none; None if it is something else."""
+def _finite_number(value: object, default: float) -> float | None:
+    """Return a finite number, the default if the value is missing, or None if it is invalid."""
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         return None
     try:
-        figure = float(value)
+        number = float(value)
     except (ValueError, OverflowError):
         return None
-    return figure if math.isfinite(figure) else None
+    return number if math.isfinite(number) else None
 
 
 def _cell(value: object) -> int:
-    figure = _figure(value, 0.0)
-    return int(figure) if figure is not None else 0
+    number = _finite_number(value, 0.0)
+    return int(number) if number is not None else 0
 
 
 def _size_hint(value: object) -> float:
-    figure = _figure(value, DEFAULT_SIZE_HINT)
-    return figure if figure is not None and figure >= 0.0 else DEFAULT_SIZE_HINT
+    number = _finite_number(value, DEFAULT_SIZE_HINT)
+    return number if number is not None and number >= 0.0 else DEFAULT_SIZE_HINT
 
 
 def _backend_address(value: object) -> tuple[str, int] | None:
-    """Where a backend listens; None for what can't be dialled or would break the Host header."""
+    """Return host and port; None for what can't be dialled or would be invalid in a Host header."""
     if not isinstance(value, str) or not value.isascii() or not value.isprintable() or " " in value:
         return None
     try:
         host, port = parse_address(value, "endpoint")
-    except (SettingsError, ValueError):  # also a port of more digits than a number may have
+    except (SettingsError, ValueError):  # ValueError: a port with more digits than int() accepts
         return None
     return (host, port) if port else None
--- a/lupinlink/net/list_format.py
+++ b/lupinlink/net/list_format.py
@@ -1,4 +1,4 @@
-"""Discovery's form: one object of a list or a watch, and where one ends in the bytes that come."""
+"""The format of discovery's lists: their JSON objects, and splitting the bytes of a watch into objects."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
 from lupinlink.net.list_entries import index_or_unknown as index_or_unknown
 
 MAX_OBJECT_BYTES = 4 * 1024 * 1024  # 6,400 backends, indented over several lines each, take some 2 MiB
-MAX_VERSION = 2**63  # a version from here on is none
-# An empty line, or one that may end an object.
+MAX_VERSION = 2**63  # larger numbers are no valid version
+# An empty line, or a line that may end an object.
 MAY_END = re.compile(rb"(?:\A|\n)[ \t\r\x0b\x0c]*\n|\}[ \t\r\x0b\x0c]*(?:\n|\Z)")
 
 
 class ListError(LupinError, ValueError):
-    """What discovery wrote is no list."""
+    """What discovery wrote is not a list of backends."""
 
     code = "LL603"
-    about = "discovery wrote something that is no list of application servers"
-    remedy = "look at what discovery answers to GET /discovery/hosts; the last good list stays in force"
+    about = "discovery sent something that is not a list of application servers"
+    remedy = "check what discovery answers to GET /discovery/hosts; the last valid list stays in force"
 
 
 @dataclass(frozen=True, slots=True)
 class ListObject:
-    """One object of discovery: a whole list, or what has changed."""
+    """One object as it was read: the full list, or a delta."""
 
-    version: int | None  # None: it could not be read
-    full: bool  # whether it is the whole list
-    entries: tuple[ListEntry, ...]  # one a name
-    rejected: int = 0  # entries that could not be read, in whole or in part
-    fault: str = ""  # of the first of them
+    version: int | None  # None if it could not be read
+    full: bool  # the full list; otherwise a delta
+    entries: tuple[ListEntry, ...]  # one for each name
+    rejected: int = 0  # number of entries that could not be read, or only in part
+    fault: str = ""  # what was wrong with the first of them
 
 
 def version_of(rev: object) -> int | None:
-    """A version; None for what is no whole number."""
+    """Return the version number, or None if it is not a valid integer."""
     if isinstance(rev, bool) or not isinstance(rev, int):
         return None
     return rev if abs(rev) < MAX_VERSION else None
 
 
 class ObjectSplitter:
-    """Cuts the lines of a watch into its objects. Most take one line; one may come indented, over several."""
+    """Splits the bytes of a watch into JSON objects: one on each line, or one indented over several lines."""
 
     def __init__(self) -> None:
-        self._line = b""  # the last one, while its end is still to come
-        self._lines: list[bytes] = []  # of an object that has begun
+        self._line = b""  # the last line, while it is incomplete
+        self._lines: list[bytes] = []  # lines of an incomplete object
         self._size = 0
-        self.signs = 0  # of life: empty lines, objects that begin, objects that end
+        self.activity = 0  # count of empty lines, of objects begun and of objects completed
 
     @property
-    def begun(self) -> bool:
-        """Whether part of an object is here."""
+    def has_partial(self) -> bool:
+        """Whether part of an object has arrived."""
         return bool(self._lines or self._line.strip())
 
-    def take_middle(self, data: bytes) -> bytes:
-        """Take the whole lines at the beginning that lie within an object; the rest is returned.
+    def take_inner_lines(self, data: bytes) -> bytes:
+        """Take the leading lines of ``data`` that continue an object without ending it, and return the rest.
 
-        One over many lines need not be looked at line by line.
+        So an object over many lines is not processed line by line.
         """
         if not self._lines:
             return data
@@ -73,57 +73,57 @@
             self._lines.append(data[: end - 1])
             self._size += end
         if self._size > MAX_OBJECT_BYTES:
-            raise ListError(f"an object of over {MAX_OBJECT_BYTES} bytes")
+            raise ListError(f"an object of more than {MAX_OBJECT_BYTES} bytes")
         return data[end:]
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that end in these bytes; raises ListError for what can be none."""
-        begun = self.begun
+        """Return the objects that these bytes complete; raises ListError for what is not a JSON object."""
+        had_partial = self.has_partial
         *lines, self._line = (self._line + data).split(b"\n")
         found = []
         for line in lines:
             if line.strip():
                 self._lines.append(line)
                 self._size += len(line)
-                # Only there can one end, and a first line shows whether one begins: a long list that comes
-                # over many lines is not parsed anew at each.
+                # An object can end only at a line that ends with a brace, and a first line shows whether one
+                # begins at all. So a long list over many lines is not parsed again at each of them.
                 if len(self._lines) == 1 or line.rstrip().endswith(b"}"):
-                    found += self._whole()
+                    found += self._parse_lines()
             elif self._lines:
-                raise ListError("an object is cut short by an empty line")
+                raise ListError("an empty line within an object")
             else:
-                self.signs += 1
+                self.activity += 1
         if self._line.rstrip().endswith(b"}"):
-            found += self._before_line_end()
-        self.signs += len(found) + (not begun and self.begun)
+            found += self._parse_incomplete_line()
+        self.activity += len(found) + (not had_partial and self.has_partial)
         if self._size + len(self._line) > MAX_OBJECT_BYTES:
-            raise ListError(f"an object of over {MAX_OBJECT_BYTES} bytes")
+            raise ListError(f"an object of more than {MAX_OBJECT_BYTES} bytes")
         return found
 
-    def _before_line_end(self) -> list[Any]:
-        """An object that is whole counts as told, though the end of its line is still to come."""
+    def _parse_incomplete_line(self) -> list[Any]:
+        """A complete object counts as notified, even before the end of its line arrives."""
         self._lines.append(self._line)
-        whole: list[Any] = []
-        with suppress(ListError):  # cut within a string it looks broken: only its line's end shows that
-            whole = self._whole()
-        if whole:
+        complete: list[Any] = []
+        with suppress(ListError):  # within a string it looks malformed; the end of the line tells
+            complete = self._parse_lines()
+        if complete:
             self._line = b""
         else:
             self._lines.pop()
-        return whole
+        return complete
 
-    def _whole(self) -> list[Any]:
+    def _parse_lines(self) -> list[Any]:
         text = b"\n".join(self._lines).decode()
         try:
             found = json.loads(text)
         except json.JSONDecodeError as exc:
-            if exc.pos >= len(text):  # all of it is right so far: more is to come
+            if exc.pos >= len(text):  # valid so far, but incomplete
                 return []
-            raise ListError(f"broken JSON: {exc.msg}") from exc
+            raise ListError(f"malformed JSON: {exc.msg}") from exc
         except RecursionError as exc:
-            raise ListError("nested too deep") from exc
+            raise ListError("JSON is nested too deep") from exc
         if not isinstance(found, dict):
-            raise ListError("a line that is no object")
+            raise ListError("a line that is not a JSON object")
         self._lines.clear()
         self._size = 0
         return [found]
--- a/lupinlink/net/list_update_queue.py
+++ b/lupinlink/net/list_update_queue.py
@@ -1,4 +1,4 @@
-"""Discovery's objects one after another, a long one in slices between turns of the event loop."""
+"""Applies discovery's updates in their order, a long one in slices over several event loop iterations."""
 
 from __future__ import annotations
 
@@ -15,52 +15,51 @@
 
 @dataclass(slots=True, frozen=True)
 class QueuedUpdate:
-    """One object on its way in."""
+    """An update that is being applied or waits for those before it."""
 
-    slices: Iterator[None]  # stops between two slices
-    broken: Callable[[ListError], None]  # it shows too late that it is no list
+    slices: Iterator[None]  # each step applies one slice
+    on_error: Callable[[ListError], None]  # called if a slice fails after ``add`` has returned
 
 
 class ListUpdateQueue:
-    """Runs them in their order. An object of one slice is taken at once, if none is on its way in."""
+    """Applies updates in order. A short update is applied at once where the queue is empty."""
 
-    def __init__(self, clock: ReactorClock, settled: Callable[[], None]) -> None:
-        """``settled``: the last of those that took more than one turn is in."""
-        self._clock, self._settled = clock, settled
-        self._objects: deque[QueuedUpdate] = deque()
+    def __init__(self, clock: ReactorClock, on_idle: Callable[[], None]) -> None:
+        """``on_idle``: called once the queue, which held long updates, is empty again."""
+        self._clock, self._on_idle = clock, on_idle
+        self._updates: deque[QueuedUpdate] = deque()
 
     @property
     def busy(self) -> bool:
-        """Whether an object is on its way in: what it tells counts already."""
-        return bool(self._objects)
+        """Whether an update is applied only in part; all of it counts as notified already."""
+        return bool(self._updates)
 
-    def take(self, taking: QueuedUpdate) -> None:
-        """Take an object, or its first slice; raises ListError if that shows that it is no list."""
-        if self._objects:
-            self._objects.append(taking)
+    def add(self, update: QueuedUpdate) -> None:
+        """Apply an update or its first slice, or queue it; raises ListError if the first slice fails."""
+        if self._updates:
+            self._updates.append(update)
             return
-        for _ in taking.slices:
-            self._objects.append(taking)
-            self._clock.after(0.0, self._go_on)
+        for _ in update.slices:
+            self._updates.append(update)
+            self._clock.after(0.0, self._apply_next_slice)
             return
 
-    def _go_on(self) -> None:
-        """One slice of the object that is on its way in."""
-        if self._objects and not self._slice(self._objects[0]):
-            self._objects.popleft()
-        if self._objects:
-            self._clock.after(0.0, self._go_on)
+    def _apply_next_slice(self) -> None:
+        if self._updates and not self._apply_slice(self._updates[0]):
+            self._updates.popleft()
+        if self._updates:
+            self._clock.after(0.0, self._apply_next_slice)
         else:
-            self._settled()
+            self._on_idle()
 
-    def _slice(self, taking: QueuedUpdate) -> bool:
-        """Whether more of it is to come."""
+    def _apply_slice(self, update: QueuedUpdate) -> bool:
+        """Return whether slices of the update remain."""
         try:
-            for _ in taking.slices:
+            for _ in update.slices:
                 return True
         except ListError as exc:
-            taking.broken(exc)
-        except Exception:  # the rest of it is lost, so discovery is asked anew
+            update.on_error(exc)
+        except Exception:  # the rest of the update is lost, so the watch ends and discovery is called again
             log.exception("list failed")
-            taking.broken(ListError("failed inside"))
+            update.on_error(ListError("failed inside"))
         return False
--- a/lupinlink/net/list_updater.py
+++ b/lupinlink/net/list_updater.py
@@ -1,4 +1,4 @@
-"""Keeps discovery's list in this process: reads its objects, and tells pools and module what has changed."""
+"""Applies discovery's updates to the list, and publishes the changes to pools and decision module."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.settings import Settings
 
-SLICE_ENTRIES = 256  # entries that pools and module learn in one turn of the event loop
+SLICE_ENTRIES = 256  # entries that are published in one iteration of the event loop
 
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """One object as discovery told it."""
+    """One update of the list as discovery sent it."""
 
     raw: Any
     kind: api.MembershipKind
-    fresh: bool = False  # its versions are not those of our list
-    is_current: Callable[[], bool] = lambda: True  # whether it shows what discovery has now
+    new_versions: bool = False  # its version is not comparable with that of the list
+    is_current: Callable[[], bool] = lambda: True  # whether it still shows what discovery has now
 
 
 class ListUpdater:
-    """The list, and who has to learn of it."""
+    """Owns the list of backends and publishes its changes."""
 
     def __init__(
         self,
@@ -39,91 +39,93 @@
         servers: ApplicationServers,
         counters: Counters,
         log: DiscoveryLog,
-        tell: Callable[[api.Membership], None],
+        on_membership: Callable[[api.Membership], None],
     ) -> None:
         self._clock, self._servers, self._counters = clock, servers, counters
-        self._log, self._tell = log, tell
+        self._log, self._on_membership = log, on_membership
         self._reader = ListReader(settings)
-        self._list = BackendList()  # as discovery has it: what is withheld here is ready there
-        self._withheld: frozenset[str] = frozenset()  # taken out of use here, whatever discovery says
+        self._list = BackendList()  # as discovery has it; withheld backends are ready in it
+        self._withheld: frozenset[str] = frozenset()  # taken out of use by this proxy alone
 
     def __len__(self) -> int:
         return len(self._list)
 
     @property
     def version(self) -> int:
-        """The version of the last object."""
+        """The version of the last update."""
         return self._list.version
 
     @property
     def ready(self) -> int:
-        """Backends that take work."""
+        """Number of backends that take new requests."""
         return self._list.ready - sum(entry.ready for entry in self._list.entries(self._withheld))
 
     @property
-    def behind(self) -> bool:
-        """Whether only a whole list can set right what older objects left."""
-        return self._list.behind
+    def is_incomplete(self) -> bool:
+        """Whether only a full list can correct what older updates left."""
+        return self._list.is_incomplete
 
     def entries(self) -> list[ListEntry]:
         """All backends."""
         return self._list.entries()
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as it stands, in discovery's form."""
-        targets = [entry.written() for entry in self._list.entries() if entry.host]
+        """Return the list in discovery's JSON format."""
+        targets = [entry.as_json() for entry in self._list.entries() if entry.host]
         return {"rev": self.version, "all": True, "targets": targets}
 
-    def begin(self, known: Mapping[str, Any]) -> None:
-        """The list as this proxy last had it, at once; raises ListError if it is none."""
-        for _ in self.taking(ListUpdate(dict(known), api.MembershipKind.CACHED)):
+    def load(self, known: Mapping[str, Any]) -> None:
+        """Load the list that this proxy knew last, in one step; raises ListError if it is invalid."""
+        for _ in self.apply_in_slices(ListUpdate(dict(known), api.MembershipKind.CACHED)):
             pass
 
-    def taking(self, told: ListUpdate, taken: Callable[[], None] = lambda: None) -> Iterator[None]:
-        """Take an object in slices; raises ListError if it is no list.
+    def apply_in_slices(
+        self, update: ListUpdate, on_applied: Callable[[], None] = lambda: None
+    ) -> Iterator[None]:
+        """Apply an update in slices; raises ListError if it is not a list.
 
-        ``taken``: the list has it, pools and module have yet to learn it.
+        ``on_applied`` is called once the list has the update, before it is published.
         """
-        read = yield from self._reader.reading(told.raw)
-        if read.rejected:
-            self._log.rejected(read, told.kind.name.lower())
-        change = self._list.apply(read, told.kind, self._clock.now(), told.fresh)
-        if told.kind != api.MembershipKind.CACHED:
+        parsed = yield from self._reader.read_in_slices(update.raw)
+        if parsed.rejected:
+            self._log.rejected(parsed, update.kind.name.lower())
+        change = self._list.apply(parsed, update.kind, self._clock.now(), update.new_versions)
+        if update.kind != api.MembershipKind.CACHED:
             self._reader.forget(entry.endpoint.name for entry in change.entries if entry.is_gone)
-            self._log.changed(self.version, told.kind.name.lower(), change.entries)
-        taken()
-        yield from self._teach(change, told)
+            self._log.changed(self.version, update.kind.name.lower(), change.entries)
+        on_applied()
+        yield from self._publish_in_slices(change, update)
 
-    def _teach(self, change: ListChange, told: ListUpdate) -> Iterator[None]:
-        """Pools and module learn it; the last slice says that the list is current."""
+    def _publish_in_slices(self, change: ListChange, update: ListUpdate) -> Iterator[None]:
+        """Publish a change in slices; the last one carries whether the list is current."""
         self._counters["lists"] += 1
         if change.kind == api.MembershipKind.CACHED:
-            self._learn(change.kind, change.entries, True)
+            self._publish(change.kind, change.entries, True)
             return
         entries = sorted(
             change.entries, key=lambda entry: entry.ready
-        )  # what must not be used any more first
+        )  # first those that must get no more requests
         while len(entries) > SLICE_ENTRIES:
-            self._learn(change.kind, entries[:SLICE_ENTRIES], False)
+            self._publish(change.kind, entries[:SLICE_ENTRIES], False)
             del entries[:SLICE_ENTRIES]
             yield
-        self._learn(change.kind, entries, told.is_current() and not self._list.older_only)
+        self._publish(change.kind, entries, update.is_current() and not self._list.only_older_updates)
 
     def withhold(self, names: frozenset[str]) -> None:
-        """Take these out of use here, whatever discovery says of them: it only narrows what is sent to."""
+        """Send nothing to these backends, whatever discovery says of them; this replaces earlier names."""
         changed = self._list.entries(self._withheld ^ names)
         self._withheld = names
         if changed:
             self._counters["lists"] += 1
-            self._learn(api.MembershipKind.DELTA, changed, False)
+            self._publish(api.MembershipKind.DELTA, changed, False)
 
-    def _learn(self, kind: api.MembershipKind, entries: Sequence[ListEntry], current: bool) -> None:
-        """The pools and the module, at once."""
-        rows = [(self._narrowed(entry.endpoint), entry.host, entry.port) for entry in entries]
+    def _publish(self, kind: api.MembershipKind, entries: Sequence[ListEntry], current: bool) -> None:
+        """Publish to the connection pools and the decision module at once."""
+        rows = [(self._effective(entry.endpoint), entry.host, entry.port) for entry in entries]
         self._servers.update_list(rows, kind != api.MembershipKind.DELTA)
-        self._tell(api.Membership(kind, [row for row, _, _ in rows], current))
+        self._on_membership(api.Membership(kind, [row for row, _, _ in rows], current))
 
-    def _narrowed(self, row: api.Endpoint) -> api.Endpoint:
-        """A copy for the module, which writes in its rows; not ready if it is withheld here."""
+    def _effective(self, row: api.Endpoint) -> api.Endpoint:
+        """Return a copy, since the decision module modifies its rows; draining if the backend is withheld."""
         withheld = row.name in self._withheld and row.state == api.EndpointState.READY
         return replace(row, state=api.EndpointState.DRAINING if withheld else row.state)
--- a/lupinlink/net/socket_peek.py
+++ b/lupinlink/net/socket_peek.py
@@ -1,4 +1,4 @@
-"""What waits unread in a TCP connection's socket."""
+"""Looks at what is unread in the socket of a TCP connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def peek(transport: Transport) -> bytes | None:
-    """The next byte that waits to be read; empty: its end does, or it is lost already; None: nothing."""
+    """Return the next unread byte, empty bytes if the connection has ended, or None if nothing is there."""
     try:
         return transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
--- a/lupinlink/net/watch.py
+++ b/lupinlink/net/watch.py
@@ -1,4 +1,4 @@
-"""One watch on discovery's list, from its dial to its end."""
+"""One call to discovery, and the watch that it becomes once discovery has answered."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Watch(Protocol):
-    """One call to discovery and the watch that it becomes, from its dial to its one end."""
+    """The connection of a call: discovery writes an object for each change, and empty lines as heartbeats."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -35,39 +35,39 @@
         clock: ReactorClock,
         times: DiscoveryTimes,
         address: tuple[str, int],
-        whole: bool,
+        full: bool,
         pushed: bool,
     ) -> None:
-        """``whole``: ask for the whole list first; ``pushed``: a local agent answers at once."""
+        """``full``: request the full list before watching; ``pushed``: a local agent answers at once."""
         self.address = address
         self.ended: Deferred[WatchEnd] = Deferred()
-        self.number = 0  # of this call in its process; set by who makes it
+        self.number = 0  # number of this call in this process; set by the caller
         self._listener, self._clock, self._times = listener, clock, times
-        self._whole, self._pushed = whole, pushed
-        self.asks_whole = whole  # at first
+        self._awaits_full_list, self._pushed = full, pushed
+        self.requests_full_list = full  # stays true once the full list has come
         self._parser = http1.ResponseParser(MAX_OBJECT_BYTES, sys.maxsize)
-        self._objects = ObjectSplitter()
-        self.began = self._heard_at = clock.now()
-        self.reached = False  # its connection came up, and the request was written
-        self.answered = False  # a good head has come
-        self.refused = False  # the head of another answer has come
-        self.partial = False  # something has begun, and not come whole
-        self._told = False  # an object or an empty line has come
-        self._expiry: Timer | None = None  # what it waits for has to come by then
-        self._late: Timer | None = None
+        self._splitter = ObjectSplitter()
+        self.started_at = self._last_active_at = clock.now()
+        self.reached = False  # the connection is up and the request is written
+        self.answered = False  # the head of a 200 response has arrived
+        self.refused = False  # the head of a response with another status has arrived
+        self.partial = False  # an update may have begun to arrive, and has not been completed
+        self._delivered = False  # an object or an empty line has arrived
+        self._silence_timer: Timer | None = None  # ends the call or watch unless there is activity
+        self._late_timer: Timer | None = None
         self._connector: Connector | None = None
-        self._over = False
+        self._closed = False
 
-    def age(self) -> float:
-        """How long ago it was begun, in ms."""
-        return self._clock.now() - self.began
+    def age_ms(self) -> float:
+        """Milliseconds since the call was made."""
+        return self._clock.now() - self.started_at
 
     def dial(self, reactor: Reactor) -> None:
-        """Go out; our timers cover the dial as well, so Twisted's own time-out is off."""
-        self._expect(self._times.answer_timeout_ms)
-        self._late = self._clock.after(self._times.late_call_after_ms, self._is_late)
+        """Connect. The timers here cover the dial as well, so Twisted's own timeout is off."""
+        self._restart_silence_timer(self._times.answer_timeout_ms)
+        self._late_timer = self._clock.after(self._times.late_call_after_ms, self._on_late)
         connector = reactor.connectTCP(*self.address, WatchFactory(self), timeout=None)
-        if self._over:
+        if self._closed:
             connector.disconnect()
         else:
             self._connector = connector
@@ -75,172 +75,174 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.reached = True
-        self._expect(self._times.answer_timeout_ms)
+        self._restart_silence_timer(self._times.answer_timeout_ms)
         if not self._pushed:
-            self._drop_late()
-        self._ask()
-        self._listener.reached(self)
-
-    def _ask(self) -> None:
-        # Another discovery need not go on from the versions of the last one: its whole list comes first.
-        query = "" if self._whole else f"?watch=1&from={self._listener.version}"
-        headers = [("Host", self.address[0])] + ([] if self._whole else [("Connection", "close")])
+            self._cancel_late_timer()
+        self._send_request()
+        self._listener.on_reached(self)
+
+    def _send_request(self) -> None:
+        # Version numbers of one discovery mean nothing to another, so its full list is requested first.
+        query = "" if self._awaits_full_list else f"?watch=1&from={self._listener.version}"
+        headers = [("Host", self.address[0])] + ([] if self._awaits_full_list else [("Connection", "close")])
         self.transport.write(http1.request("GET", f"/discovery/hosts{query}", headers))
 
-    def _heard(self) -> None:
-        """A sign of life: a head, an empty line, an object's beginning or its end.
+    def _note_activity(self) -> None:
+        """Activity is a response head, an empty line, or the beginning or the end of an object.
 
-        Danger: bytes alone are none. What drips for ever tells nothing, and would keep a dead watch.
+        Other bytes don't count: an object that trickles in without end would keep a dead watch open.
         """
-        self._heard_at = self._clock.now()
-        self._expect(self._times.silence_timeout_ms)
-
-    def _expect(self, within_ms: float) -> None:
-        """The next sign of life has to come within that time."""
-        if self._expiry is not None:
-            self._expiry.drop()
-        self._expiry = self._clock.after(within_ms, self._expired)
-
-    def _expired(self) -> None:
-        # Danger: after a pause of this process news may lie unread, and counts as told. One more turn reads.
-        self._expiry = self._clock.after(0.0, lambda: self._end("silence", silent=True))
-
-    def _is_late(self) -> None:
-        self._late = None
-        self._listener.late(self)
-
-    def _drop_late(self) -> None:
-        if self._late is not None:
-            self._late.drop()
-            self._late = None
-
-    def _quiet(self) -> None:
-        """An agent answers at once with what it has; so it has nothing."""
-        if not self._over and not self._told:
-            self._told = True
-            self._listener.unchanged(self)
-            self._look_for_partial()
+        self._last_active_at = self._clock.now()
+        self._restart_silence_timer(self._times.silence_timeout_ms)
+
+    def _restart_silence_timer(self, within_ms: float) -> None:
+        """End this call unless there is activity within that time."""
+        if self._silence_timer is not None:
+            self._silence_timer.drop()
+        self._silence_timer = self._clock.after(within_ms, self._on_silence)
+
+    def _on_silence(self) -> None:
+        # After a pause of this process an update may lie unread in the socket, and it counts as notified:
+        # one more iteration of the event loop reads it before the watch ends.
+        self._silence_timer = self._clock.after(0.0, lambda: self._end("silence", silent=True))
+
+    def _on_late(self) -> None:
+        self._late_timer = None
+        self._listener.on_late(self)
+
+    def _cancel_late_timer(self) -> None:
+        if self._late_timer is not None:
+            self._late_timer.drop()
+            self._late_timer = None
+
+    def _on_quiet_agent(self) -> None:
+        """A local agent writes at once what has changed, so its silence after the head means no changes."""
+        if not self._closed and not self._delivered:
+            self._delivered = True
+            self._listener.on_unchanged(self)
+            self._check_partial()
 
     def dataReceived(self, data: bytes) -> None:
-        if not self._over:
+        if not self._closed:
             with self._clock.iterations.step("discovery"):
-                self._take_bytes(data)
+                self._process_bytes(data)
 
-    def _take_bytes(self, data: bytes) -> None:
+    def _process_bytes(self, data: bytes) -> None:
         self._parser.feed(data)
-        begins, whole, broken = self._parser.head is None, None, None
+        begins, message, broken = self._parser.head is None, None, None
         try:
-            whole = self._parser.next()
+            message = self._parser.next()
         except http1.MessageError as exc:
-            broken = exc  # what came before counts as told
-        head = whole or self._parser.head
+            broken = exc  # what came before it counts as notified
+        head = message or self._parser.head
         try:
             if head is not None:
-                self._read(head, whole, begins)
+                self._process_response(head, message, begins)
             if broken is not None:
                 raise broken
         except (http1.MessageError, ValueError, RecursionError) as exc:
-            # Broken bytes end this connection; the module is told and asks again.
+            # Malformed bytes end this connection; the decision module is notified and calls again.
             self.end(str(exc))
-        self._look_for_partial()
+        self._check_partial()
 
-    def _read(self, head: http1.Message, whole: http1.Message | None, begins: bool) -> None:
+    def _process_response(self, head: http1.Message, message: http1.Message | None, begins: bool) -> None:
         if head.status != 200:
-            self._set_partial(False)  # it brings no news
+            self._set_partial(False)  # an error response carries no update
             self.refused = True
             raise ListError(f"discovery answered {head.status}")
         if begins:
             self.answered = True
-            self._drop_late()
-            self._heard()
-            self._listener.answered(self)
-            if not self._whole and self._pushed:
-                self._clock.after(self._times.unchanged_after_ms, self._quiet)
-        if self._whole:
-            if whole is not None:
-                self._take_list(whole)
+            self._cancel_late_timer()
+            self._note_activity()
+            self._listener.on_answered(self)
+            if not self._awaits_full_list and self._pushed:
+                self._clock.after(self._times.unchanged_after_ms, self._on_quiet_agent)
+        if self._awaits_full_list:
+            if message is not None:
+                self._process_full_list(message)
             return
-        # Line by line: an object counts as told though the next one is broken.
-        data = whole.body if whole is not None else self._parser.take_body()
-        for line in self._objects.take_middle(data).splitlines(keepends=True):
-            signs = self._objects.signs
-            found = self._objects.feed(line)
-            for one in found:
-                if not self._over:
-                    self._told = True
-                    self._listener.take(self, one)
-            if self._objects.signs != signs and not self._over:
-                self._heard()
-                if not self._told and not line.strip():
-                    self._told = True
-                    self._listener.unchanged(self)
-        if whole is not None:
+        # Line by line: an object counts as notified even if the one after it is malformed.
+        data = message.body if message is not None else self._parser.take_body()
+        for line in self._splitter.take_inner_lines(data).splitlines(keepends=True):
+            activity = self._splitter.activity
+            found = self._splitter.feed(line)
+            for item in found:
+                if not self._closed:
+                    self._delivered = True
+                    self._listener.on_object(self, item)
+            if self._splitter.activity != activity and not self._closed:
+                self._note_activity()
+                if not self._delivered and not line.strip():
+                    self._delivered = True
+                    self._listener.on_unchanged(self)
+        if message is not None:
             self.end("discovery ended it")
 
-    def _look_for_partial(self) -> None:
-        """Danger: the first byte of an answer may be the last that ever comes of news that count as told."""
-        untold = self._parser.head is not None and not self._told
-        partial = untold or self._parser.unfinished or self._objects.begun
-        if not self._over:
+    def _check_partial(self) -> None:
+        # Part of a head or of an object, or a head with nothing after it: its update counts as notified,
+        # even if the rest never arrives.
+        undelivered = self._parser.head is not None and not self._delivered
+        partial = undelivered or self._parser.unfinished or self._splitter.has_partial
+        if not self._closed:
             self._set_partial(partial)
 
     def _set_partial(self, partial: bool) -> None:
-        """Told again while it lasts: an object that came whole in between has ended what was begun before."""
+        # Reported again while it lasts: one object may have been completed and another one begun since.
         changed, self.partial = partial != self.partial, partial
         if partial or changed:
-            self._listener.partial(self)
-
-    def _take_list(self, whole: http1.Message) -> None:
-        self._listener.take(self, json.loads(whole.body), full=True)
-        self._whole = False
-        if whole.keeps_open():
-            self._expect(self._times.answer_timeout_ms)
-            self._ask()
+            self._listener.on_partial(self)
+
+    def _process_full_list(self, message: http1.Message) -> None:
+        self._listener.on_object(self, json.loads(message.body), full=True)
+        self._awaits_full_list = False
+        if message.keeps_open():
+            self._restart_silence_timer(self._times.answer_timeout_ms)
+            self._send_request()
         else:
             self.end("the list came, the watch is still to be asked for")
 
-    def read_waiting(self) -> bool:
-        """Read what waits in the socket without waiting for the reactor; whether there was anything.
+    def read_pending(self) -> bool:
+        """Read what the socket holds without waiting for the reactor; return whether there was anything.
 
-        An end that waits is left to the reactor. From ``dataReceived`` nothing may come back here: objects
-        would be taken out of their order.
+        The end of the connection is left to the reactor. Nothing called from ``dataReceived`` may call this:
+        objects would be processed out of order.
         """
         was_read = False
         for _ in range(MAX_OBJECT_BYTES // READ_BYTES):
-            if self._over or self.transport is None or not peek(self.transport):
+            if self._closed or self.transport is None or not peek(self.transport):
                 break
             was_read = True
             try:
                 if self.transport.doRead() is not None:
                     break
-            except Exception:  # as the reactor would: what was read of it is lost, so it is asked anew
+            except Exception:  # as the reactor does: bytes read are lost, so end the call; another is made
                 log.exception("watch failed")
                 self.end("failed inside")
         return was_read
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        # A list without a length is whole at the connection's end, if that is no reset.
-        whole = self._parser.eof() if isinstance(reason.value, ConnectionDone) and not self._over else None
-        if whole is not None and self._whole and whole.status == 200:
+        # A full list without a Content-Length is complete when the connection closes without a reset.
+        answer = self._parser.eof() if isinstance(reason.value, ConnectionDone) and not self._closed else None
+        if answer is not None and self._awaits_full_list and answer.status == 200:
             with suppress(ValueError, RecursionError):
-                self._listener.take(self, json.loads(whole.body), full=True)
+                self._listener.on_object(self, json.loads(answer.body), full=True)
         self.end("connection ended")
 
     def end(self, why: str) -> None:
-        """No more of this one, whichever side ends it."""
+        """Close the connection, for the reason ``why``; calls after the first have no effect."""
         self._end(why)
 
     def _end(self, why: str, silent: bool = False) -> None:
-        if self._over:
+        if self._closed:
             return
-        self._over = True
-        self._drop_late()
-        if self._expiry is not None:
-            self._expiry.drop()
+        self._closed = True
+        self._cancel_late_timer()
+        if self._silence_timer is not None:
+            self._silence_timer.drop()
         if self.transport is not None:
             self.transport.abortConnection()
         elif self._connector is not None:
             self._connector.disconnect()
-        took_ms = self._clock.now() - self.began
-        end = WatchEnd(why, silent, self.reached, self.answered, took_ms, self._heard_at, self.refused)
+        took_ms = self._clock.now() - self.started_at
+        end = WatchEnd(why, silent, self.reached, self.answered, took_ms, self._last_active_at, self.refused)
         self.ended.callback(end)
--- a/lupinlink/net/watch_factory.py
+++ b/lupinlink/net/watch_factory.py
@@ -1,4 +1,4 @@
-"""Brings the connection of one call to discovery up."""
+"""The client factory for the connection of one call to discovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WatchFactory(ClientFactory):
-    """Brings one watch's connection up."""
+    """Connects one watch; a factory serves one connection only."""
 
     noisy = False
 
--- a/lupinlink/net/watch_listener.py
+++ b/lupinlink/net/watch_listener.py
@@ -1,4 +1,4 @@
-"""What one call to discovery, and the watch that it becomes, reports while it lasts and at its end."""
+"""The events that a call to discovery, and the watch that it becomes, reports to its owner."""
 
 from __future__ import annotations
 
@@ -13,52 +13,56 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEnd:
-    """Why a call or a watch is over, and what had come of it until then."""
+    """Why a call or a watch ended, and how far it had got."""
 
     why: str
-    silent: bool  # it showed no sign of life for too long
-    reached: bool  # its connection came up
-    answered: bool  # a good head came
-    took_ms: float  # since it was begun
-    heard_at: float  # its last sign of life
-    refused: bool  # discovery answered that it does not serve it
-
-    def as_failed_call(self, call: int, asked_whole: bool) -> DiscoveryCallFailed:
-        """The event for a call of this number that told nothing; what a whole list tells counts later."""
-        may_have_told = self.answered and not asked_whole
+    silent: bool  # there was no activity for too long
+    reached: bool  # its connection was established
+    answered: bool  # the head of a 200 response arrived
+    took_ms: float  # since the call was made
+    last_active_at: float  # ms of the process's clock
+    refused: bool  # discovery answered with another status than 200
+
+    def as_failed_call(self, call: int, requested_full_list: bool) -> DiscoveryCallFailed:
+        """The event for call number ``call``, which delivered nothing.
+
+        A lost response to a watch may have held an update that counts as notified from its write on. The
+        response to a request for the full list counts only some time later.
+        """
+        may_have_told = self.answered and not requested_full_list
         return DiscoveryCallFailed(
             self.reached, self.answered, self.took_ms, self.silent, may_have_told, self.refused, call
         )
 
 
 class WatchListener(Protocol):
-    """Who a watch tells."""
+    """Receives the events of a watch."""
 
     @property
     def version(self) -> int:
-        """Of the list as it is known."""
+        """The version of the list that is known, from which a watch starts."""
         ...
 
-    def late(self, watch: Watch) -> None:
-        """It still waits, for its connection or, where lists are pushed, for its answer."""
+    def on_late(self, watch: Watch) -> None:
+        """It has waited long for its connection or, where lists are pushed, for the response."""
         ...
 
-    def reached(self, watch: Watch) -> None:
-        """Its connection came up."""
+    def on_reached(self, watch: Watch) -> None:
+        """Its connection is established and the request is written."""
         ...
 
-    def answered(self, watch: Watch) -> None:
-        """A good head came."""
+    def on_answered(self, watch: Watch) -> None:
+        """The head of a 200 response arrived."""
         ...
 
-    def partial(self, watch: Watch) -> None:
-        """Whether something of it has begun and not come whole has changed."""
+    def on_partial(self, watch: Watch) -> None:
+        """An update has begun to arrive or has been completed: see ``watch.partial``."""
         ...
 
-    def unchanged(self, watch: Watch) -> None:
-        """It shows that nothing has changed: an empty line came, and no object before it."""
+    def on_unchanged(self, watch: Watch) -> None:
+        """Nothing has changed: an empty line, or silence of an agent, came in place of a first object."""
         ...
 
-    def take(self, watch: Watch, raw: Any, full: bool = False) -> None:
-        """One object of it."""
+    def on_object(self, watch: Watch, raw: Any, full: bool = False) -> None:
+        """A decoded JSON object arrived; ``full``: it is the response to a request for the full list."""
         ...
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -96,7 +96,7 @@
         self.dials(1002.0)
         self.up(0, HEAD + EMPTY_LINE).end("discovery ended it")
         self.assertEqual(self.dials(1002.0 + 751.0), 2)
-        began = self.seen.dials[1].began
+        began = self.seen.dials[1].started_at
         for number in (1, 2):
             self.up(number)
             self.assertEqual(self.dials(began + number * 1000.0 - 1.0), number + 1)
@@ -104,7 +104,7 @@
         self.up(3)
         self.assertEqual(self.dials(1002.0 + 751.0 + 2200.0 + 249.0), 4)  # one is given up: a wait again
         self.assertEqual(self.dials(1002.0 + 751.0 + 2200.0 + 752.0), 5)
-        self.assertEqual(len(self.discovery_client._asked), 3)
+        self.assertEqual(len(self.discovery_client._calls), 3)
 
     def test_a_connection_that_is_late_gets_another_beside_it_and_the_first_to_tell_wins(self) -> None:
         self.assertEqual(self.dials(1001.0 + 749.0), 1)
@@ -120,7 +120,7 @@
         self.dials(61_000.0)
         self.assertGreater(len(self.seen.dials), 60_000.0 / 1500.0)
         self.assertLess(len(self.seen.dials), 60_000.0 / 700.0)
-        self.assertLessEqual(len(self.discovery_client._asked), 3)
+        self.assertLessEqual(len(self.discovery_client._calls), 3)
 
     def test_a_head_alone_confirms_nothing_and_its_silence_is_that_of_a_watch(self) -> None:
         self.dials(1002.0)
@@ -190,7 +190,7 @@
         self.dials(1002.0)
         self.up(0, HEAD + EMPTY_LINE).end("discovery ended it")
         self.assertEqual(self.dials(1002.0 + 751.0), 2)
-        began = self.seen.dials[1].began
+        began = self.seen.dials[1].started_at
         self.up(1)
         self.assertEqual(self.dials(began + 751.0), 2)
         self.assertEqual(self.dials(1002.0 + 751.0 + 2200.0 + 499.0), 2)
@@ -205,7 +205,7 @@
         self.dials(1000.0)
         for time in range(1150, 9000, 150):
             self.assertGreaterEqual(self.dials(time + 60.0), (time - 1000) // 300)
-            self.assertLessEqual(len(self.discovery_client._asked), 3)
+            self.assertLessEqual(len(self.discovery_client._calls), 3)
             if len(self.seen.dials) % 2:
                 self.up(len(self.seen.dials) - 1)
 
--- a/tests/test_updates_before_write.py
+++ b/tests/test_updates_before_write.py
@@ -128,7 +128,7 @@
     def wait_for(self, data: bytes) -> None:
         """Discovery has written it, and this process was in the kernel's way no more."""
         self.watch.sendall(data)
-        watch = self.discovery_client._live or self.discovery_client._asked[0]
+        watch = self.discovery_client._watch or self.discovery_client._calls[0]
         assert watch is not None
         self.assertTrue(select.select([watch.transport.getHandle()], [], [], WAIT)[0])
 
@@ -162,13 +162,13 @@
 
     def test_a_watch_that_is_gone_or_still_on_its_way_up_is_no_matter(self) -> None:
         self.live()
-        live = self.discovery_client._live
+        live = self.discovery_client._watch
         assert live is not None
         self.watch.shutdown(socket.SHUT_RDWR)  # its end waits unread: the reactor's
         self.assertTrue(select.select([live.transport.getHandle()], [], [], WAIT)[0])
         self.discovery_client.read_pending_updates()
-        self.loop.turn_until(lambda: self.discovery_client._live is None)
-        self.assertFalse(live.read_waiting())
+        self.loop.turn_until(lambda: self.discovery_client._watch is None)
+        self.assertFalse(live.read_pending())
         self.assertEqual(peek(live.transport), b"")
         self.discovery_client.call()
         self.discovery_client.read_pending_updates()
