--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""When a change of the list counts as told: asking times, pushed lists, silence, objects over lines."""
+"""When changes of the list count as notified: call times, silent watches, pushed lists, split objects."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from tests.helpers import SAFE, NodeHarness
 from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, chunk, listing, row
 
-TOLD_MS = 300.0  # a server has to be left alone so long after the news, the slack of sockets included
-CALL_MS = 2000.0  # a call that is answered takes so long at most
-ALL_TOLD_MS = 6000.0  # what discovery has, and could be asked for, counts as told then
-GRACE_MS = 150.0  # of a pause of the process
+NOTIFIED_MS = 300.0  # from an update on until a server must get no requests, with a margin for sockets
+CALL_MS = 2000.0  # longest time to the response of a call
+ALL_NOTIFIED_MS = 6000.0  # every change that discovery has counts as notified by then
+GRACE_MS = 150.0  # for a pause of the process
 
 
-class Asking(unittest.TestCase):
-    """A proxy without a watch is held to its list for the asking time, and for 6 s whatever call failed."""
+class CallTimes(unittest.TestCase):
+    """A proxy without a watch may rely on its list for ``must_ask_ms``, and for 6 s whichever call failed."""
 
     @staticmethod
     def calls(actions: list[Action]) -> int:
@@ -42,8 +42,8 @@
         return sum(isinstance(action, Send) for action in actions)
 
     def test_the_first_call_of_each_of_many_comes_in_time_for_an_answer(self) -> None:
-        # zone+mass 90217: proxies started anew at 10.5 s asked after 10.6 to 12.1 s, of the 10 s allowed,
-        # and sent to servers that counted as gone.
+        # Restarted proxies made their first call after 10.6 to 12.1 s, though 10 s are allowed, and sent
+        # requests to servers that counted as gone.
         for must_ask in (4000.0, 10000.0, 60000.0):
             firsts = []
             for rank in range(200):
@@ -51,10 +51,10 @@
                 while not any(isinstance(action, Subscribe) for action in harness.log):
                     harness.advance_to(min(harness.timers)[0])
                 firsts.append(harness.now)
-            self.assertLess(max(firsts), min(must_ask / 2, ALL_TOLD_MS - CALL_MS))
-            self.assertGreater(max(firsts), 0.3 * min(must_ask, ALL_TOLD_MS))  # and yet they are no herd
-            # Nor do any hundred of them, as they are killed, crowd in: a call that waits for 2 s fails, and
-            # yet keeps discovery busy (herd+mass 7: drawn at random, 12 of 42 first calls failed).
+            self.assertLess(max(firsts), min(must_ask / 2, ALL_NOTIFIED_MS - CALL_MS))
+            self.assertGreater(max(firsts), 0.3 * min(must_ask, ALL_NOTIFIED_MS))  # and they are spread
+            # The calls of any hundred that are restarted are spread as well: a call that waits for 2 s fails,
+            # and still loads discovery. At random times 12 of 42 first calls failed.
             part = max(firsts) / 7.5
             for killed in (firsts, firsts[::2], firsts[:100], Random(1).sample(firsts, 100)):
                 for begin in range(0, int(max(firsts)), 50):
@@ -65,36 +65,36 @@
     def started(peers: int = 200) -> NodeHarness:
         return NodeHarness(Settings(classes=(SAFE,), subscribe=True, must_ask_ms=10000.0, peers=peers))
 
-    def test_a_new_process_that_was_told_nothing_in_time_holds_its_requests_for_a_while(self) -> None:
-        # herd+mass 7: discovery had too many callers, and answered the last first calls 5.6 s after a start.
+    def test_a_new_process_without_a_response_holds_its_requests_for_a_while(self) -> None:
+        # An overloaded discovery answered the last first calls only 5.6 s after a start.
         harness = self.started()
         harness.advance_to(3149.0)
         self.assertEqual(self.sends(harness.ask("before", left=900.0)), 1)
-        harness.discover([], MembershipKind.FAILED)  # a call that failed tells nothing
+        harness.discover([], MembershipKind.FAILED)  # a call that failed confirms nothing
         harness.advance_to(3151.0)
         self.assertEqual(self.sends(harness.ask("held", left=900.0)), 0)
         self.assertEqual(self.sends(harness.advance_to(harness.node.discovery.call_at - 50.0)), 0)
         self.assertEqual(self.sends(harness.ask("still held", left=900.0)), 0)
         while not self.calls(harness.advance_to(min(harness.timers)[0])):
             pass
-        told = harness.discover([Endpoint("b", state=EndpointState.DRAINING)], MembershipKind.DELTA)
-        sent = [action for action in told if isinstance(action, Send)]
+        actions = harness.discover([Endpoint("b", state=EndpointState.DRAINING)], MembershipKind.DELTA)
+        sent = [action for action in actions if isinstance(action, Send)]
         self.assertEqual([(send.request_id, send.endpoint != "b") for send in sent], [("still held", True)])
 
-    def test_a_small_fleet_whose_first_calls_should_be_answered_by_then_holds_sooner(self) -> None:
+    def test_a_small_fleet_holds_requests_sooner(self) -> None:
         harness = self.started(peers=5)
         harness.advance_to(1499.0)
         self.assertEqual(self.sends(harness.ask("before", left=900.0)), 1)
         harness.advance_to(1501.0)
         self.assertEqual(self.sends(harness.ask("held", left=20.0)), 0)
 
-    def test_holding_ends_where_discovery_turns_every_call_away_and_in_any_case(self) -> None:
+    def test_requests_are_held_until_discovery_refuses_calls_or_for_a_limited_time(self) -> None:
         dark = self.started()
         dark.advance_to(4000.0)
         dark.discover([], MembershipKind.FAILED)
         dark.advance_to(5001.0)
         self.assertEqual(self.sends(dark.ask("held", left=20.0)), 0)
-        dark.discover([], MembershipKind.FAILED)  # and it is no single failure
+        dark.discover([], MembershipKind.FAILED)  # more than a single failure
         self.assertEqual(self.sends(dark.ask("served", left=900.0)), 1)
         mute = self.started()
         mute.advance_to(15149.0)
@@ -102,8 +102,8 @@
         mute.advance_to(15151.0)
         self.assertEqual(self.sends(mute.ask("served", left=900.0)), 1)
 
-    def test_a_subscription_that_dropped_on_the_simulator_is_followed_by_a_call(self) -> None:
-        # There the same event tells that a call has failed and that a subscription is over.
+    def test_a_lost_subscription_of_the_simulator_is_followed_by_a_call(self) -> None:
+        # In the simulator one event stands for a failed call and for a lost subscription.
         for peers in (5, 200):
             harness = self.started(peers)
             while not self.calls(harness.advance_to(min(harness.timers)[0])):
@@ -114,7 +114,7 @@
                 harness.discover([], MembershipKind.FAILED)
                 self.assertEqual(self.calls(harness.advance_to(harness.now + 1000.0)), 1)
 
-    def test_a_wait_and_a_call_fit_in_that_time_however_many_have_failed(self) -> None:
+    def test_a_backoff_and_a_call_fit_in_6_s_however_many_calls_have_failed(self) -> None:
         for must_ask in (4000.0, 10000.0, 60000.0):
             settings = Settings(classes=(SAFE,), subscribe=True, must_ask_ms=must_ask, peers=200)
             waits = []
@@ -128,15 +128,17 @@
                     while not self.calls(harness.advance_to(min(harness.timers)[0])):
                         pass
                     waits.append(harness.now - before)
-                    self.assertEqual(self.calls(harness.advance_to(before + 5001.0)), 0)  # one, and no more
+                    self.assertEqual(self.calls(harness.advance_to(before + 5001.0)), 0)  # exactly one call
             given_up = DiscoveryTimes.of(settings).answer_timeout_ms
-            self.assertLess(max(waits) + given_up + CALL_MS, ALL_TOLD_MS - GRACE_MS)  # and one that delivers
-            self.assertGreater(max(waits), 2.0 * min(waits))  # drawn, and no storm
+            self.assertLess(
+                max(waits) + given_up + CALL_MS, ALL_NOTIFIED_MS - GRACE_MS
+            )  # with a call that delivers
+            self.assertGreater(max(waits), 2.0 * min(waits))  # with jitter, so that calls are spread
             self.assertGreater(min(waits), 200.0)
 
 
-class Lines(unittest.TestCase):
-    def test_an_object_may_come_indented_and_in_any_pieces(self) -> None:
+class ObjectsOverLines(unittest.TestCase):
+    def test_objects_may_be_indented_and_split_anywhere(self) -> None:
         wanted = [{"rev": 1, "targets": [{"uid": "a"}, {"uid": "b", "x": {}}]}, {"rev": 2, "targets": []}]
         for indent in (None, 1, 4):
             text = "".join(json.dumps(one, indent=indent) + "\n" for one in wanted).encode()
@@ -147,7 +149,7 @@
                 self.assertEqual(found, wanted, (indent, size))
                 self.assertEqual(objects.feed(b"\n"), [])
 
-    def test_what_can_be_no_object_ends_it_at_once(self) -> None:
+    def test_malformed_objects_raise_an_error_at_once(self) -> None:
         for broken in (
             b"not json\n",
             b"{not\n",
@@ -162,24 +164,24 @@
             ObjectSplitter().feed(b'{"a":\n' + b" " * MAX_OBJECT_BYTES)
 
 
-class Silent(ProxyProcessTest):
-    def test_a_watch_that_falls_silent_is_logged_and_asked_anew_in_time(self) -> None:
+class SilentWatch(ProxyProcessTest):
+    def test_a_silent_watch_is_logged_and_replaced_in_time(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", old))
         self.discovery.watch()
         began = time.monotonic()
         self.line("watch fell silent")
         again = self.discovery.watch()
-        told = listing(42, False, row("s-1", old, "terminating"), row("s-2", new))
-        again.sendall(chunk(json.dumps(told, indent=2) + "\n"))  # and it may come indented
+        update = listing(42, False, row("s-1", old, "terminating"), row("s-2", new))
+        again.sendall(chunk(json.dumps(update, indent=2) + "\n"))  # indented, which has to work too
         until = time.monotonic() + WAIT
         while not new.seen.qsize() and time.monotonic() < until:
             self.ask().read()
-        self.assertLess(time.monotonic() - began, 6.0)  # by then all that it missed counts as told
+        self.assertLess(time.monotonic() - began, 6.0)  # by then every missed change counts as notified
 
 
 class Pushed(ProxyProcessTest):
-    """Lists are pushed: what discovery's agent has counts at once, whether or not a watch is open."""
+    """Lists are pushed: what the local agent has counts at once, whether or not a watch is open."""
 
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
 
@@ -187,34 +189,34 @@
         super().setUp()
         self.old, self.new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", self.old))
-        self.watch = self.discovery.watch()  # though nothing is sent yet and the module never asks
+        self.watch = self.discovery.watch()  # opened before any request, without a subscription
 
-    def test_what_the_agent_has_counts_from_the_first_moment(self) -> None:
-        told = listing(42, False, row("s-1", self.old, "terminating"), row("s-2", self.new))
-        self.watch.sendall(chunk(json.dumps(told) + "\n"))
+    def test_an_update_of_the_agent_counts_at_once(self) -> None:
+        update = listing(42, False, row("s-1", self.old, "terminating"), row("s-2", self.new))
+        self.watch.sendall(chunk(json.dumps(update) + "\n"))
         at = time.monotonic()
-        while (time.monotonic() - at) * 1000.0 < TOLD_MS:
+        while (time.monotonic() - at) * 1000.0 < NOTIFIED_MS:
             self.ask().read()
         self.old.seen.queue.clear()
         self.assertEqual(self.ask().read(), b"ok")
         self.assertEqual(self.old.seen.qsize(), 0)
 
-    def test_a_watch_that_ends_is_back_before_news_would_have_to_be_heard(self) -> None:
-        for _ in range(4):  # nor does the wait grow
+    def test_a_watch_that_ends_is_replaced_before_an_update_counts(self) -> None:
+        for _ in range(4):  # the backoff does not grow
             at = time.monotonic()
             self.watch.shutdown(socket.SHUT_RDWR)
             self.watch = self.discovery.watch()
-            self.assertLess((time.monotonic() - at) * 1000.0, TOLD_MS)
+            self.assertLess((time.monotonic() - at) * 1000.0, NOTIFIED_MS)
 
-    def test_a_silent_agent_is_asked_anew_without_a_pause(self) -> None:
+    def test_a_silent_agent_is_called_again_without_a_pause(self) -> None:
         self.line("watch fell silent")
         at = time.monotonic()
         self.discovery.watch()
-        self.assertLess((time.monotonic() - at) * 1000.0, TOLD_MS)
+        self.assertLess((time.monotonic() - at) * 1000.0, NOTIFIED_MS)
 
 
-class PushedElsewhere(test_reload.Reload):
-    """After SIGHUP what the other agent has counts 4 s later."""
+class PushedAfterAMove(test_reload.Reload):
+    """After SIGHUP, what the other agent has counts 4 s later."""
 
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
 
--- a/tests/test_updates_before_write.py
+++ b/tests/test_updates_before_write.py
@@ -1,4 +1,4 @@
-"""The last moment before an attempt's first byte: what discovery has written by then is heeded."""
+"""An update that discovery has written is applied before the first byte of an attempt is written."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 CLIENTS = 60
-TOLD_S = 0.3  # so long after the news no first byte may go out, the slack of sockets included
+NOTIFIED_S = 0.3  # after an update no first byte may be sent, with a margin for sockets
 
 
-class HeededLast(ManualReactorTest):
-    """The news comes in the last look, behind all checks that were made before."""
+class ReadBeforeWrite(ManualReactorTest):
+    """The update is read last, after all earlier checks of an attempt."""
 
     def changes(self) -> dict[str, Callable[[], None]]:
         elsewhere = ("127.0.0.1", 1)
         return {
             "drained": self.drain,
             "gone": lambda: self.learn(EndpointState.GONE),
-            "left out of a whole list": lambda: self.servers.update_list([], True),
+            "missing in a full list": lambda: self.servers.update_list([], True),
             "at another address": lambda: self.learn(address=elsewhere),
             "another process": lambda: self.learn(started_ms=2.0),
         }
 
-    def checked(self, begin: Callable[[], list[AttemptResult]], kept: bool) -> None:
+    def assert_not_begun(self, begin: Callable[[], list[AttemptResult]], kept: bool) -> None:
         for name, change in self.changes().items():
             with self.subTest(name):
                 self.servers.update_list([], True)
@@ -58,9 +58,7 @@
                 self.assertEqual(self.servers.counters["attempts_not_begun"], before + 1)
                 server.settimeout(WAIT)
                 with server:
-                    self.assertEqual(
-                        self.end_of(server), b""
-                    )  # its connection is closed, and brought nothing
+                    self.assertEqual(self.end_of(server), b"")  # closed without a byte
 
     def probe(self) -> list[AttemptResult]:
         ends: list[AttemptResult] = []
@@ -68,19 +66,19 @@
         return ends
 
     def test_on_a_kept_connection(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"body")[1], kept=True)
+        self.assert_not_begun(lambda: self.loop.attempt(b"body")[1], kept=True)
 
     def test_on_a_connection_that_has_just_come_up(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"body")[1], kept=False)
+        self.assert_not_begun(lambda: self.loop.attempt(b"body")[1], kept=False)
 
     def test_of_a_body_that_is_passed_on(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BODY_BYTES))[1], kept=True)
+        self.assert_not_begun(lambda: self.loop.attempt(b"x" * (3 * SMALL_BODY_BYTES))[1], kept=True)
 
     def test_of_a_probe(self) -> None:
-        self.checked(self.probe, kept=True)
-        self.checked(self.probe, kept=False)
+        self.assert_not_begun(self.probe, kept=True)
+        self.assert_not_begun(self.probe, kept=False)
 
-    def test_an_attempt_that_ends_in_the_look_is_not_written_and_its_connection_rests(self) -> None:
+    def test_an_attempt_that_ends_meanwhile_is_not_written_and_its_connection_stays_idle(self) -> None:
         server, connection = self.loop.kept()
         attempts: list[Any] = []
         start = self.servers._send
@@ -97,8 +95,8 @@
         self.assertEqual((self.came(server), connection.pool.idle), (b"", [connection]))
 
 
-class WaitsUnread(ManualReactorTest):
-    """News lies in a watch's socket while the turn of the reactor starts an attempt."""
+class UnreadUpdate(ManualReactorTest):
+    """An update lies unread in a socket while the reactor starts an attempt in the same iteration."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -116,17 +114,17 @@
         self.loop.turn_until(self.discovery.watches.qsize)
         self.watch = self.discovery.watch()
 
-    def told(self, **more: Any) -> bytes:
+    def drain_update(self, **more: Any) -> bytes:
         one = {**row("s-1", self.discovery, "terminating"), **more}
         one["endpoint"] = "{}:{}".format(*self.loop.listener.getsockname())
         return chunk(json.dumps(listing(42, False, one)) + "\n")
 
-    def live(self) -> None:
+    def open_watch(self) -> None:
         self.watch.sendall(chunk(json.dumps(listing(41, False)) + "\n"))
         self.loop.turn_until(lambda: self.discovery_client.version == 41)
 
-    def wait_for(self, data: bytes) -> None:
-        """Discovery has written it, and this process was in the kernel's way no more."""
+    def write_and_await(self, data: bytes) -> None:
+        """Send it, and wait until the kernel has it for the watch."""
         self.watch.sendall(data)
         watch = self.discovery_client._watch or self.discovery_client._calls[0]
         assert watch is not None
@@ -138,33 +136,33 @@
         self.assertEqual([end.status for end in ends], [Status.NOT_SENT])
         self.assertEqual(self.end_of(self.server), b"")
 
-    def test_on_the_watch_that_has_told(self) -> None:
-        self.live()
-        self.wait_for(self.told())
+    def test_on_the_watch(self) -> None:
+        self.open_watch()
+        self.write_and_await(self.drain_update())
         self.assert_unsent()
 
-    def test_on_the_watch_that_was_asked_for(self) -> None:
-        self.wait_for(self.told())
+    def test_on_a_call(self) -> None:
+        self.write_and_await(self.drain_update())
         self.assert_unsent()
 
     def test_before_broken_bytes_and_before_its_end(self) -> None:
-        self.live()
-        self.wait_for(self.told() + b"\xff broken\r\n")
+        self.open_watch()
+        self.write_and_await(self.drain_update() + b"\xff broken\r\n")
         self.watch.shutdown(socket.SHUT_RDWR)
         self.assert_unsent()
 
     def test_behind_more_than_one_read_can_hold(self) -> None:
-        self.live()
-        pieces = [self.told(state="in_service", model="x" * 60_000)] * 4
+        self.open_watch()
+        pieces = [self.drain_update(state="in_service", model="x" * 60_000)] * 4
         self.watch.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_OBJECT_BYTES)
-        self.wait_for(b"".join(pieces) + self.told())
+        self.write_and_await(b"".join(pieces) + self.drain_update())
         self.assert_unsent()
 
-    def test_a_watch_that_is_gone_or_still_on_its_way_up_is_no_matter(self) -> None:
-        self.live()
+    def test_a_closed_watch_and_a_connecting_call_do_not_prevent_an_attempt(self) -> None:
+        self.open_watch()
         live = self.discovery_client._watch
         assert live is not None
-        self.watch.shutdown(socket.SHUT_RDWR)  # its end waits unread: the reactor's
+        self.watch.shutdown(socket.SHUT_RDWR)  # its end is left to the reactor
         self.assertTrue(select.select([live.transport.getHandle()], [], [], WAIT)[0])
         self.discovery_client.read_pending_updates()
         self.loop.turn_until(lambda: self.discovery_client._watch is None)
@@ -177,8 +175,8 @@
         self.assertEqual(ends, [])
 
 
-class ToldInOneSegment(ProxyProcessTest):
-    def test_a_held_request_is_not_sent_by_one_object_to_what_the_next_one_drains(self) -> None:
+class TwoUpdatesInOneSegment(ProxyProcessTest):
+    def test_a_held_request_is_not_sent_to_a_backend_that_the_second_object_drains(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start()
         watch = self.discovery.watch()
@@ -193,8 +191,8 @@
         self.assertEqual((old.seen.qsize(), new.seen.qsize()), (0, 1))
 
 
-class StoodStill(ProxyProcessTest):
-    def test_what_was_told_while_the_process_stood_still_goes_before_requests_that_came_first(self) -> None:
+class StoppedProcess(ProxyProcessTest):
+    def test_an_update_written_during_a_stop_is_applied_before_earlier_requests(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", old), row("s-2", new))
         watch = self.discovery.watch()
@@ -203,13 +201,13 @@
             client.request("GET", "/up")
             client.getresponse().read()
         for _ in range(10):
-            self.ask().read()  # connections to both stand idle
+            self.ask().read()  # leaves idle connections to both
         self.process.send_signal(signal.SIGSTOP)
         self.addCleanup(self.process.send_signal, signal.SIGCONT)
         for client in clients:
             self.send(client)
         watch.sendall(chunk(json.dumps(listing(42, False, row("s-1", old, "terminating"))) + "\n"))
-        time.sleep(TOLD_S)
+        time.sleep(NOTIFIED_S)
         old.seen.queue.clear()
         new.seen.queue.clear()
         self.process.send_signal(signal.SIGCONT)
