--- a/lupinlink/__init__.py
+++ b/lupinlink/__init__.py
@@ -1,3 +1,3 @@
-"""lupinlink: an HTTP proxy around the decisions of a small bank of proxies."""
+"""lupinlink: an HTTP/1.1 proxy whose load balancing decisions are made by a separate module."""
 
 __version__ = "0.2.0"
--- a/lupinlink/__main__.py
+++ b/lupinlink/__main__.py
@@ -1,4 +1,4 @@
-"""python -m lupinlink"""
+"""Entry point of ``python -m lupinlink``."""
 
 import sys
 
--- a/lupinlink/adapter.py
+++ b/lupinlink/adapter.py
@@ -1,4 +1,7 @@
-"""Wire codec: batches of text lines in, actions out, for many isolated balancers. No decision here."""
+"""Adapter for the simulator: reads events as batches of text lines and writes the actions of each batch.
+
+One process hosts many independent nodes, each with its own instance of the decision module.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 )
 from lupinlink.settings import REPORT_FIELDS, SettingsError, parse_settings
 
-STATUS = {
+STATUS_BY_NAME = {
     "OK": Status.OK,
     "INTERNAL": Status.ERROR,
     "RESOURCE_EXHAUSTED": Status.OVERLOADED,
@@ -48,12 +51,12 @@
 }
 
 
-class WireError(LupinError):
-    """The input breaks the wire's rules."""
+class SimulatorProtocolError(LupinError):
+    """The input does not follow the simulator's protocol."""
 
     code = "LL602"
-    about = "the adapter was given a line that the simulator's wire does not have"
-    remedy = "look at the line it names; the simulator and this version must speak the same wire"
+    about = "the adapter received a line that the simulator's protocol does not allow"
+    remedy = "check the line that it names; the simulator and this version must use the same protocol"
 
 
 def _number(text: str) -> float:
@@ -63,61 +66,84 @@
 def _report(text: str) -> dict[str, float] | None:
     if text == "-":
         return None
-    out = {}
+    report = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
-        known = REPORT_FIELDS.get(name)
-        if known is not None:
-            out[known] = float(value)
-    return out
+        field = REPORT_FIELDS.get(name)
+        if field is not None:
+            report[field] = float(value)
+    return report
 
 
-def _arrival(p: list[str]) -> Event:
-    tenant = 0 if p[4] == "-" else int(p[4])
-    return Arrival(p[2], int(p[3]), tenant, float(p[6]), p[8] == "1", "" if p[5] == "-" else p[5])
+def _arrival(fields: list[str]) -> Event:
+    tenant = 0 if fields[4] == "-" else int(fields[4])
+    return Arrival(
+        fields[2],
+        int(fields[3]),
+        tenant,
+        float(fields[6]),
+        fields[8] == "1",
+        "" if fields[5] == "-" else fields[5],
+    )
 
 
-def _outcome(p: list[str]) -> Event:
-    return Outcome(p[2], STATUS[p[3]], float(p[4]), int(p[5]), p[6] == "1", p[7], _report(p[8]))
+def _outcome(fields: list[str]) -> Event:
+    return Outcome(
+        fields[2],
+        STATUS_BY_NAME[fields[3]],
+        float(fields[4]),
+        int(fields[5]),
+        fields[6] == "1",
+        fields[7],
+        _report(fields[8]),
+    )
 
 
-def _stream(p: list[str]) -> Event:
-    return StreamStarted(p[2], int(p[3]), float(p[4]), p[5])
+def _stream_started(fields: list[str]) -> Event:
+    return StreamStarted(fields[2], int(fields[3]), float(fields[4]), fields[5])
 
 
-def _gone(p: list[str]) -> Event:
-    return ClientGone(p[2])
+def _client_gone(fields: list[str]) -> Event:
+    return ClientGone(fields[2])
 
 
-def _timer(p: list[str]) -> Event:
-    return TimerFired(int(p[2]))
+def _timer_fired(fields: list[str]) -> Event:
+    return TimerFired(int(fields[2]))
 
 
-def _probe(p: list[str]) -> Event:
-    return ProbeResult(p[2], STATUS[p[4]], _number(p[3]), _report(p[5]))
+def _probe_result(fields: list[str]) -> Event:
+    return ProbeResult(fields[2], STATUS_BY_NAME[fields[4]], _number(fields[3]), _report(fields[5]))
 
 
-# message -> (number of parts, decoder)
+# Message type -> number of fields and decoder.
 DECODERS: dict[str, tuple[int, Callable[[list[str]], Event]]] = {
     "SUBMIT": (10, _arrival),
     "RESOLVED": (9, _outcome),
-    "STREAMING": (6, _stream),
-    "TIMED_OUT_CLIENT": (3, _gone),
-    "ALARM": (3, _timer),
-    "ECHO": (6, _probe),
+    "STREAMING": (6, _stream_started),
+    "TIMED_OUT_CLIENT": (3, _client_gone),
+    "ALARM": (3, _timer_fired),
+    "ECHO": (6, _probe_result),
 }
 
 
 def _endpoint(line: str) -> Endpoint:
-    p = line.split(" ")
-    if p[0] != "SERVER" or len(p) != 8:
-        raise WireError("expected a SERVER line")
-    hint = 1.0 if p[6] == "-" else float(p[6])
-    return Endpoint(p[1], int(p[2]), int(p[3]), int(p[4]), EndpointState(int(p[5])), hint, _number(p[7]))
+    fields = line.split(" ")
+    if fields[0] != "SERVER" or len(fields) != 8:
+        raise SimulatorProtocolError(f"expected a SERVER line with 8 fields, got {line[:40]!r}")
+    hint = 1.0 if fields[6] == "-" else float(fields[6])
+    return Endpoint(
+        fields[1],
+        int(fields[2]),
+        int(fields[3]),
+        int(fields[4]),
+        EndpointState(int(fields[5])),
+        hint,
+        _number(fields[7]),
+    )
 
 
 def encode(node: str, action: Action) -> str:
-    """One action as one wire line."""
+    """Return the protocol line for one action."""
     match action:
         case Send():
             return f"SUBMIT_TO {node} {action.request_id} {action.endpoint} {action.timeout_ms:.3f}"
@@ -133,99 +159,103 @@
             return f"PROBE {node} {action.endpoint}"
         case Subscribe():
             return f"STREAM_CHANGES {node} 1"
-        case ListTrustChanged():  # a note only
+        case ListTrustChanged():  # for the simulator's log only
             return f"DEBUG {node} list {action.trust.value} for {action.unconfirmed_ms:.0f} ms"
 
 
 class NodeHost:
-    """Feeds each instance its own events and collects its actions."""
+    """Hosts the nodes: passes each one its events and collects its actions."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Balancer] = {}
         self.now = 0.0
         self.line_number = 0
 
-    def serve(self, source: TextIO, sink: TextIO) -> None:
-        """Answer batches until the input ends."""
+    def serve(self, input_lines: TextIO, output: TextIO) -> None:
+        """Answer batches until the input ends; raises SimulatorProtocolError on invalid input."""
         reply: list[str] | None = None
-        lines = iter(source)
-        for raw in lines:
+        lines = iter(input_lines)
+        for raw_line in lines:
             self.line_number += 1
-            line = raw.rstrip("\n")
+            line = raw_line.rstrip("\n")
             if reply is None:
                 if not line:
                     continue
-                head, _, clock = line.partition(" ")
-                if head != "BEGIN_BATCH":
-                    raise WireError(f"expected BEGIN_BATCH, got {head[:40]!r}")
+                keyword, _, clock = line.partition(" ")
+                if keyword != "BEGIN_BATCH":
+                    raise SimulatorProtocolError(f"expected BEGIN_BATCH, got {keyword[:40]!r}")
                 self.now = float(clock)
                 reply = []
             elif line == "YOUR_TURN":
                 reply.append("YIELD\n")
-                sink.write("\n".join(reply))
-                sink.flush()
+                output.write("\n".join(reply))
+                output.flush()
                 reply = None
             else:
-                self.event(line, lines, reply)
+                self.handle_line(line, lines, reply)
         if reply is not None:
-            raise WireError("input ended inside a batch")
+            raise SimulatorProtocolError("input ended inside a batch")
 
-    def event(self, line: str, lines: Any, reply: list[str]) -> None:
-        """Decode one event and let its instance act."""
-        parts = line.split(" ")
-        decoder = DECODERS.get(parts[0])
+    def handle_line(self, line: str, lines: Any, reply: list[str]) -> None:
+        """Decode one event, pass it to its node and append the node's actions to ``reply``."""
+        fields = line.split(" ")
+        decoder = DECODERS.get(fields[0])
         if decoder is not None:
-            if len(parts) != decoder[0]:
-                raise WireError(f"{parts[0]} takes {decoder[0]} parts, got {len(parts)}")
-            event = decoder[1](parts)
-        elif parts[0] == "UPDATE":
-            if len(parts) != 5:
-                raise WireError(f"UPDATE takes 5 parts, got {len(parts)}")
-            rows = []
-            for _ in range(int(_number(parts[4]))):
+            if len(fields) != decoder[0]:
+                raise SimulatorProtocolError(f"{fields[0]} takes {decoder[0]} fields, got {len(fields)}")
+            event = decoder[1](fields)
+        elif fields[0] == "UPDATE":
+            if len(fields) != 5:
+                raise SimulatorProtocolError(f"UPDATE takes 5 fields, got {len(fields)}")
+            endpoints = []
+            for _ in range(int(_number(fields[4]))):
                 self.line_number += 1
-                rows.append(_endpoint(next(lines, "").rstrip("\n")))
-            event = Membership(MembershipKind(int(parts[2])), rows)
-        elif parts[0] == "CREATE":
-            parts = line.split(" ", 3)
-            if len(parts) != 4:
-                raise WireError("CREATE takes 4 parts")
-            settings = parse_settings(parts[3])
-            self.nodes[parts[1]] = Balancer(settings, random.Random(int(parts[2])))
+                endpoints.append(_endpoint(next(lines, "").rstrip("\n")))
+            event = Membership(MembershipKind(int(fields[2])), endpoints)
+        elif fields[0] == "CREATE":
+            fields = line.split(" ", 3)
+            if len(fields) != 4:
+                raise SimulatorProtocolError("CREATE takes 4 fields: CREATE, node, seed and settings")
+            settings = parse_settings(fields[3])
+            self.nodes[fields[1]] = Balancer(settings, random.Random(int(fields[2])))
             return
-        elif parts[0] == "CRASH_NOW" and len(parts) == 2:
-            if self.nodes.pop(parts[1], None) is None:
-                raise WireError(f"unknown instance {parts[1][:40]!r}")
+        elif fields[0] == "CRASH_NOW" and len(fields) == 2:
+            if self.nodes.pop(fields[1], None) is None:
+                raise SimulatorProtocolError(f"unknown node {fields[1][:40]!r}")
             return
-        elif parts[0] == "INBOX":
-            return  # peers' messages are not used
+        elif fields[0] == "INBOX":
+            return  # messages from peers are not used
         else:
-            raise WireError(f"unknown message {parts[0][:40]!r}")
-        node = self.nodes.get(parts[1])
+            raise SimulatorProtocolError(f"unknown message {fields[0][:40]!r}")
+        node = self.nodes.get(fields[1])
         if node is None:
-            raise WireError(f"unknown instance {parts[1][:40]!r}")
+            raise SimulatorProtocolError(f"unknown node {fields[1][:40]!r}")
         try:
             actions = node.handle(self.now, event)
         except Exception as exc:
             traceback.print_exc(file=sys.stderr)
             cause = " ".join(f"{type(exc).__name__}: {exc}".split())
-            reply.append(f"BROKEN {parts[1]} {cause}")
+            reply.append(f"BROKEN {fields[1]} {cause}")
             return
         if actions:
-            name = parts[1]
+            name = fields[1]
             for action in actions:
                 reply.append(encode(name, action))
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
+    """Serve the simulator on standard input and output; return the exit code."""
     gc.freeze()
     host = NodeHost()
     try:
         host.serve(sys.stdin, sys.stdout)
-    except (WireError, ValueError, KeyError, IndexError) as exc:
-        fault = str(exc) if isinstance(exc, WireError | SettingsError) else f"{type(exc).__name__}: {exc}"
-        print(f"lupinlink: line {host.line_number}: {fault}", file=sys.stderr)
+    except (SimulatorProtocolError, ValueError, KeyError, IndexError) as exc:
+        message = (
+            str(exc)
+            if isinstance(exc, SimulatorProtocolError | SettingsError)
+            else f"{type(exc).__name__}: {exc}"
+        )
+        print(f"lupinlink: line {host.line_number}: {message}", file=sys.stderr)
         return 2
     return 0
 
--- a/lupinlink/cli.py
+++ b/lupinlink/cli.py
@@ -1,4 +1,4 @@
-"""lupinlink: one real proxy around the decision module, and the tools beside it.
+"""lupinlink: an HTTP proxy built around a decision module, and its tools.
 
 Usage:
   lupinlink [serve] [--config=FILE] [--fleet=FILE]
@@ -8,19 +8,19 @@
   lupinlink (-h | --help)
 
 Commands:
-  serve    Run one proxy; this is what a plain start does.
-  check    Read the configuration, say what is wrong with it or what it holds, and exit.
-  lab      Play scenarios against the decisions and report what came of it (needs lupinlink[lab]).
+  serve    Run one proxy; the default command.
+  check    Validate the configuration, print it or its errors, and exit.
+  lab      Run scenarios against the decision module and report the results (needs lupinlink[lab]).
   version  Print the version.
 
-lupinlink COMMAND --help tells more of each.
+lupinlink COMMAND --help shows the options of a command.
 
 Options:
-  --config=FILE  The configuration; else LB_CONFIG names it.
-  --fleet=FILE   What it agrees on with the fleet; else LB_FLEET names it; without one it serves alone.
+  --config=FILE  The configuration file; default: the one that LB_CONFIG names.
+  --fleet=FILE   The fleet file; default: the one that LB_FLEET names. Without one the proxy serves alone.
   -h --help      Show this text.
 
-LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT go before what the configuration says.
+LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override the configuration file.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line; returns the exit code."""
-    words = sys.argv[1:] if argv is None else argv
-    name = words[0] if words else "serve"
+    """Run the command line and return the exit code."""
+    arguments = sys.argv[1:] if argv is None else argv
+    name = arguments[0] if arguments else "serve"
     if name in ("-h", "--help"):
         print((__doc__ or "").strip())
         return 0
     if name.startswith("-"):
-        name = "serve"  # options alone: a plain start
+        name = "serve"  # options without a command
     if name not in COMMANDS:
-        print(f"lupinlink: {name!r} is no command; there are {', '.join(COMMANDS)}", file=sys.stderr)
+        print(f"lupinlink: {name!r} is no command; the commands are {', '.join(COMMANDS)}", file=sys.stderr)
         return 2
-    # Each command brings its own imports: a plain serve must not load what only others need.
-    return int(import_module(f"lupinlink.commands.{name}").main(words))
+    # Import only the chosen command: serve must not load what only the other commands need.
+    return int(import_module(f"lupinlink.commands.{name}").main(arguments))
--- a/lupinlink/clock.py
+++ b/lupinlink/clock.py
@@ -1,4 +1,4 @@
-"""The one clock interface: what tells the time and calls back, on the real network or a virtual one."""
+"""The clock interface, implemented for real time and for the virtual time of simulations."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Clock(Protocol):
-    """Times are milliseconds that never step back."""
+    """A monotonic clock with timers; times are in milliseconds."""
 
     def now(self) -> float:
-        """The time."""
+        """Return the current time."""
         ...
 
     def at(self, at_ms: float, call: Callable[[], None]) -> int:
-        """Have ``call`` made at that time, never before; the number drops it."""
+        """Schedule ``call`` at the time ``at_ms``, never earlier; returns a number for ``drop``."""
         ...
 
     def drop(self, number: int) -> None:
-        """Forget a call; one that was made or dropped is no error."""
+        """Cancel a scheduled call; does nothing if it was already made or cancelled."""
         ...
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> object:
-        """Have ``call`` made so much later, perhaps a tick too late; it cannot be dropped by number."""
+        """Schedule ``call`` after a delay, possibly one timer tick late; ``drop`` cannot cancel it."""
         ...
--- a/lupinlink/errors.py
+++ b/lupinlink/errors.py
@@ -1,8 +1,8 @@
-"""The one hierarchy of errors: a stable code, what happened, and what an operator can do.
+"""Base class of all errors that are reported to operators.
 
-Each error type states its ``code`` (stable, never used again for something else), a one-line ``about`` and a
-one-line ``remedy``; the text given at the raise says what happened this time. docs/operators/errors.md lists
-every code; a test keeps list and code equal.
+Each error type has a ``code``, which is stable and never reused, and one line each on what it is ``about`` and
+on its ``remedy``. The message of an instance says what happened this time. docs/operators/errors.md lists all
+codes and is generated from these types by tests/test_errors.py.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 
 class LupinError(Exception):
-    """Base of all errors that an operator may meet."""
+    """Base class of the errors that an operator may see."""
 
     code: ClassVar[str] = "LL000"
-    about: ClassVar[str] = "something went wrong that has no type of its own"
+    about: ClassVar[str] = "an error without a more specific type occurred"
     remedy: ClassVar[str] = "keep the log and report it"
 
     def __init__(self, what: str) -> None:
-        """``what``: what happened this time, one plain line."""
+        """``what``: what happened this time; white space is collapsed to make it one line."""
         super().__init__(" ".join(what.split()))
 
     def line(self) -> str:
-        """One line for a log or a terminal: code, what happened, what to do."""
+        """Format the error as one line for a log or a terminal: code, message and remedy."""
         return f"{self.code} {self}; {self.remedy}"
 
 
 def error_types(base: type[LupinError] = LupinError) -> list[type[LupinError]]:
-    """Every error type that has been imported so far, by code."""
+    """Return ``base`` and all its imported subclasses, sorted by code."""
     found = [base]
-    for one in base.__subclasses__():
-        found += error_types(one)
+    for subclass in base.__subclasses__():
+        found += error_types(subclass)
     return sorted(set(found), key=lambda kind: kind.code)
--- a/lupinlink/interface.py
+++ b/lupinlink/interface.py
@@ -1,6 +1,7 @@
-"""What is said to the decision core and by it: events in, actions out; with its records, under one name.
+"""The interface of the decision module: the events it takes, the actions it returns, and their records.
 
-Times are milliseconds on the caller's clock. No decision is taken here.
+The caller passes each event with the current time and carries out the actions in order. Times are in
+milliseconds on the caller's clock. Everything that callers need is exported here.
 """
 
 from __future__ import annotations
@@ -33,78 +34,74 @@
 
 @dataclass(slots=True)
 class Membership:
-    """News of the endpoints."""
+    """The list of backends has changed, or a call to discovery has failed."""
 
     kind: MembershipKind
     endpoints: list[Endpoint] = field(default_factory=list)
-    current: bool = True  # it shows what discovery has now; False: of a discovery that was moved away from
+    current: bool = True  # from discovery's present address; False: from its previous one
 
 
 @dataclass(slots=True)
 class ProcessStarted:
-    """A real process has started, with the list of backends that its former life had."""
+    """A real process has started with the list of backends that the previous process had."""
 
 
 @dataclass(slots=True)
 class DiscoveryMoved:
-    """Discovery is at another address from now on."""
+    """Discovery is at another address from now on, or the complete list has to be requested again."""
 
 
 @dataclass(slots=True)
 class DiscoveryCallLate:
-    """A call to discovery still waits, for its connection or, where lists are pushed, for its answer."""
+    """A call to discovery is late: it has no connection yet or, where lists are pushed, no answer."""
 
 
 @dataclass(slots=True)
 class DiscoveryCallReached:
-    """The connection of a call to discovery came up and its request was written: it may be answered now."""
+    """A call to discovery is connected and its request written, so that its answer may now be in transit."""
 
-    call_number: int = 0  # its number in this process
-    previous_watch_open: bool = (
-        False  # it asks a new discovery for its list; the former one's watch still tells
-    )
+    call_number: int = 0  # counted within this process
+    previous_watch_open: bool = False  # it asks for the complete list while the previous watch still delivers
 
 
 @dataclass(slots=True)
 class DiscoveryCallAnswered:
-    """A call to discovery has a good head; what it has to tell comes next."""
+    """Discovery has answered a call with a valid response head; the body follows."""
 
 
 @dataclass(slots=True)
 class DiscoveryPartial:
-    """Whether something that discovery has begun to write, on a call or a watch, has not come whole."""
+    """A message of discovery, on a call or a watch, has arrived in part, or no such message is left."""
 
     partial: bool
 
 
 @dataclass(slots=True)
 class DiscoveryCallFailed:
-    """A call to discovery ended and told nothing."""
+    """A call to discovery has ended without delivering anything."""
 
-    connected: bool  # its connection came up
-    answered: bool  # a good head came
+    connected: bool  # its connection was established
+    answered: bool  # a valid response head arrived
     took_ms: float
-    timed_out: bool = False  # it was given up, discovery did not end it
-    may_have_notified: bool = False  # a good head came, so news that was written may be lost
-    refused: bool = False  # discovery answered that it does not serve it, so it told nothing
-    call_number: int = 0  # its number in this process
+    timed_out: bool = False  # this side gave it up; otherwise discovery ended it
+    may_have_notified: bool = False  # a response had begun, so an update that discovery sent may be lost
+    refused: bool = False  # discovery answered that it does not serve the call, so no update was sent
+    call_number: int = 0  # counted within this process
 
 
 @dataclass(slots=True)
 class DiscoveryWatchEnded:
-    """The watch that had told is over."""
+    """The open watch, which had delivered updates, has ended."""
 
-    last_activity_at: float  # its last sign of life
-    timed_out: bool
-    at_previous_address: bool = (
-        False  # discovery has moved from where it was, and has not told at the new address yet
-    )
-    may_have_update: bool = True  # discovery may have ended it instead of telling
+    last_activity_at: float  # when anything last arrived on it
+    timed_out: bool  # this side gave it up; otherwise discovery ended it
+    at_previous_address: bool = False  # no list has come from discovery's new address yet
+    may_have_update: bool = True  # discovery may have ended it in place of sending an update
 
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt ended. ``closed``: the request has had its final answer."""
+    """An attempt has ended. ``closed``: the request already has its final answer."""
 
     request_id: str
     status: Status
@@ -117,7 +114,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer to an attempt has begun; it belongs to the client from now on."""
+    """The response to an attempt has begun and is passed on to the client, so no other attempt may follow."""
 
     request_id: str
     attempt: int
@@ -127,21 +124,21 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client no longer waits."""
+    """The client has closed its connection or given up."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the core set has come due."""
+    """A timer set by SetTimer has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
-    """A probe came back."""
+    """A probe has ended."""
 
     endpoint: str
     status: Status
@@ -166,35 +163,37 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt."""
+    """Start an attempt at an endpoint."""
 
     request_id: str
     endpoint: str
     timeout_ms: float
-    begin_by: float = math.inf  # later it could be a second effect: a connection may be long on its way up
+    # Connecting may take long, and after this time the endpoint may have forgotten an earlier attempt: the
+    # request could then take effect twice.
+    begin_by: float = math.inf
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request_id: str
     attempt: int
 
 
 class RefusalCause(Enum):
-    """Why the decision core refuses; as counted, behind ``refused_for_``."""
+    """Why a request is refused. The values are suffixes of the counters ``refused_for_...``."""
 
-    NO_TIME = "no_time"  # no answer can come before its client has gone
-    SHED = "shed"  # admission: more is asked for than can be served
-    LIST_HELD = "list_held"  # discovery may have more to tell than it has
-    NO_BACKEND = "no_backend"  # none fits, or is ready
-    NO_RETRY = "no_retry"  # an attempt never ran, and there is no budget or time for another
+    NO_TIME = "no_time"  # no answer can arrive before the client's deadline
+    SHED = "shed"  # admission control: the load exceeds the capacity
+    LIST_HELD = "list_held"  # the list of backends may be out of date
+    NO_BACKEND = "no_backend"  # no backend is ready, or none may take this request
+    NO_RETRY = "no_retry"  # an attempt never ran, and no retry budget or time is left
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not run, trying again does no harm."""
+    """Final answer: refused. The request did not run, or may safely be sent again."""
 
     request_id: str
     retry_after_ms: float
@@ -203,14 +202,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; promises nothing about the effect."""
+    """Final answer: failed. The request may have run."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Deliver a TimerFired with this token after the delay."""
 
     delay_ms: float
     token: int
@@ -218,14 +217,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask an endpoint for its load."""
+    """Ask an endpoint for its load report."""
 
     endpoint: str
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Call discovery for the list of backends and open a watch."""
 
 
 Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | Subscribe | ListTrustChanged
--- a/lupinlink/node.py
+++ b/lupinlink/node.py
@@ -1,4 +1,7 @@
-"""Bookkeeping of one node: timers, open requests, attempts and the list of endpoints. No decision here."""
+"""State of one node: timers, open requests, attempts and the list of endpoints.
+
+Node is the base class of the decision module in lupinlink.brain, which overrides its hooks.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 
 
 class Node:
-    """Keeps the records straight and hands each piece of news to the decisions, which subclass it."""
+    """Updates the records for each event, then calls the hook that decides what to do."""
 
     def __init__(self, settings: api.Settings, rng: Random) -> None:
         self.settings, self.rng = settings, rng
         self.servers: dict[str, Server] = {}
         self.open_requests: dict[str, Request] = {}
         self.groups: dict[tuple[int, int], Group] = {}  # by zone and kind
-        self.ready = 0
-        self._gone: dict[str, Server] = {}  # no longer listed, with attempts still out there
-        self.in_flight = 0
+        self.ready = 0  # number of ready servers
+        self._gone: dict[str, Server] = {}  # no longer listed; kept while attempts are in flight there
+        self.in_flight = 0  # open attempts at all servers
         self.actions: list[api.Action] = []
         self._timers: dict[int, Callable[[float], None]] = {}
         self._next_token = 0
@@ -44,43 +47,43 @@
         }
 
     def node_started(self, now: float) -> None:
-        """The first event is about to be handled."""
+        """Called before the first event is handled."""
         raise NotImplementedError
 
     def request_arrived(self, request: Request, now: float) -> None:
-        """A request landed and is open."""
+        """A request has arrived and is open."""
         raise NotImplementedError
 
     def attempt_ended(self, request: Request, attempt: Attempt, event: api.Outcome, now: float) -> None:
-        """An attempt has its outcome; ``request.done`` tells whether the request is over."""
+        """An attempt has its outcome; if ``request.done``, the request needs no answer any more."""
         raise NotImplementedError
 
     def server_listed(self, server: Server) -> None:
-        """A server is new to this node or its process has restarted."""
+        """A server is new on the list, or its process has restarted."""
         raise NotImplementedError
 
     def server_left(self, server: Server, now: float) -> None:
-        """A server is known here no longer, or its process is another one now."""
+        """A server is dropped from the records, or its process has restarted."""
         raise NotImplementedError
 
     def server_usable_changed(self, server: Server, now: float) -> None:
-        """A server has become ready, or is so no longer."""
+        """A server has become ready or stopped being ready."""
         raise NotImplementedError
 
     def list_updated(self, event: api.Membership, now: float) -> None:
-        """Discovery spoke, or (``FAILED``) a call failed or the subscription broke."""
+        """The list has changed or, with kind ``FAILED``, a call has failed or the subscription has broken."""
         raise NotImplementedError
 
     def discovery_updated(self, event: api.DiscoveryEvent, now: float) -> None:
-        """What became of a call to discovery or of the watch."""
+        """The state of a call to discovery or of the watch has changed."""
         raise NotImplementedError
 
     def probe_ended(self, server: Server, event: api.ProbeResult, now: float) -> None:
-        """A probe came back."""
+        """A probe of a listed server has ended."""
         raise NotImplementedError
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event; the actions are to be carried out at the same instant, in order."""
+        """Handle one event. The caller carries out the returned actions at once and in order."""
         self.actions = []
         if not self._started:
             self._started = True
@@ -89,39 +92,39 @@
         return self.actions
 
     def sizes(self) -> dict[str, int]:
-        """The size of every table here."""
+        """The sizes of all tables, by the name of their gauge."""
         return {"module_servers": len(self.servers), "module_open": len(self.open_requests),
                 "module_timers": len(self._timers)}  # fmt: skip
 
     def call_later(self, delay_ms: float, call: Callable[[float], None]) -> None:
-        """Call back later."""
+        """Call ``call`` with the then current time once the delay has passed."""
         self._next_token += 1
         self._timers[self._next_token] = call
         self.actions.append(api.SetTimer(delay_ms, self._next_token))
 
     def subscribe(self, now: float) -> None:
-        """Ask discovery for changes."""
+        """Call discovery."""
         self.actions.append(api.Subscribe())
 
     def outstanding(self) -> list[tuple[Request, Attempt]]:
-        """The attempts that are out."""
+        """All attempts in flight, each with its request."""
         return [(r, a) for r in self.open_requests.values() for a in r.attempts if a.status is None]
 
     def start_attempt(self, request: Request, server: Server, by: float, now: float) -> Attempt:
-        """Record and emit a send."""
+        """Record a new attempt and emit its Send; it must begin until the time ``by``."""
         attempt = Attempt(server, now)
         request.attempts.append(attempt)
         server.in_flight += 1
         server.sent_since_report += 1
         server.tokens -= 1.0
         self.in_flight += 1
-        # The time-out is the client's own: a failure told at that instant is the final answer in time.
-        left = request.arrival.deadline - now
-        self.actions.append(api.Send(request.arrival.request_id, server.endpoint.name, left, by))
+        # The attempt may use all the time left: a failure at the deadline is still an answer in time.
+        remaining_ms = request.arrival.deadline - now
+        self.actions.append(api.Send(request.arrival.request_id, server.endpoint.name, remaining_ms, by))
         return attempt
 
     def close(self, request: Request, kept: int = -1) -> None:
-        """A request is over: call off what is out (but ``kept``), forget it once nothing is."""
+        """Mark a request as done, cancel its attempts except number ``kept``; drop it once none is open."""
         request.done = True
         out = [i for i, a in enumerate(request.attempts) if a.status is None]
         if not out:
@@ -141,7 +144,7 @@
             return
         attempt = request.attempts[event.attempt]
         if attempt.status is not None:
-            return  # told twice
+            return  # its outcome is already known
         attempt.status = event.status
         attempt.server.in_flight -= 1
         self.in_flight -= 1
@@ -160,43 +163,43 @@
             self.close(self.open_requests[event.request_id])
 
     def _on_stream(self, now: float, event: api.StreamStarted) -> None:
-        if event.request_id in self.open_requests:  # the answer belongs to the client; no further attempt
+        if event.request_id in self.open_requests:  # the client gets this response: no further attempt
             self.close(self.open_requests[event.request_id], kept=event.attempt)
 
     def _on_membership(self, now: float, event: api.Membership) -> None:
         if event.kind in (MembershipKind.CACHED, MembershipKind.FULL):
-            self._leave_out(event.endpoints, now)
-        for row in event.endpoints:
-            self._take_row(row, now)
+            self._mark_unlisted_gone(event.endpoints, now)
+        for endpoint in event.endpoints:
+            self._update_server(endpoint, now)
         if event.kind != MembershipKind.FAILED:
-            self._forget_gone(now)
+            self._drop_gone(now)
         self.list_updated(event, now)
 
-    def _leave_out(self, listed: list[api.Endpoint], now: float) -> None:
-        """What a whole list does not name is gone."""
-        named = {row.name for row in listed}
+    def _mark_unlisted_gone(self, listed: list[api.Endpoint], now: float) -> None:
+        """Mark the servers that are missing from a complete list as gone."""
+        names = {endpoint.name for endpoint in listed}
         for name, server in self.servers.items():
-            if name not in named:
+            if name not in names:
                 server.endpoint.state = EndpointState.GONE
                 self._set_ready(server, False, now)
                 self._gone[name] = server
 
-    def _take_row(self, row: api.Endpoint, now: float) -> None:
-        known = self.servers.get(row.name)
-        if known is None or row.started_ms > known.endpoint.started_ms:
-            if known is not None:
-                self._drop(known, now)
-            # After a restart nothing learnt of the old process holds.
-            group = self.groups.setdefault((row.zone, row.kind), Group(now))
-            known = Server(row, now, group, tokens_at=now, salt=salt(row.name))
-            self.servers[row.name] = known
-            self.server_listed(known)
-        known.endpoint = row
-        self._set_ready(known, row.state == EndpointState.READY, now)
-        if row.state == EndpointState.GONE:
-            self._gone[row.name] = known
+    def _update_server(self, endpoint: api.Endpoint, now: float) -> None:
+        server = self.servers.get(endpoint.name)
+        if server is None or endpoint.started_ms > server.endpoint.started_ms:
+            if server is not None:
+                self._drop(server, now)
+            # Nothing learnt about the previous process holds after a restart.
+            group = self.groups.setdefault((endpoint.zone, endpoint.kind), Group(now))
+            server = Server(endpoint, now, group, tokens_at=now, salt=salt(endpoint.name))
+            self.servers[endpoint.name] = server
+            self.server_listed(server)
+        server.endpoint = endpoint
+        self._set_ready(server, endpoint.state == EndpointState.READY, now)
+        if endpoint.state == EndpointState.GONE:
+            self._gone[endpoint.name] = server
         else:
-            self._gone.pop(row.name, None)
+            self._gone.pop(endpoint.name, None)
 
     def _set_ready(self, server: Server, ready: bool, now: float) -> None:
         if ready != server.ready:
@@ -209,8 +212,8 @@
         del self.servers[server.endpoint.name]
         self.server_left(server, now)
 
-    def _forget_gone(self, now: float) -> None:
-        """Drop the servers that are gone once nothing is out there: a long day sees ever new ones."""
+    def _drop_gone(self, now: float) -> None:
+        """Drop gone servers without open attempts; otherwise the table would grow with every new server."""
         for name, server in list(self._gone.items()):
             if not server.in_flight:
                 del self._gone[name]
--- a/lupinlink/records.py
+++ b/lupinlink/records.py
@@ -1,7 +1,6 @@
-"""What a node keeps: endpoints, requests and attempts, and how they ended. No decision is taken here.
+"""Records of the decision module: endpoints, servers, requests, attempts and their outcomes.
 
-Times are milliseconds on the caller's clock. Names follow the field's terms: endpoint, attempt,
-outcome, admission, outlier ejection, slow start.
+They hold data only; the decisions are in lupinlink.brain. Times are milliseconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -17,21 +16,21 @@
 
     OK = 0
     ERROR = 1
-    OVERLOADED = 2  # turned away unseen
+    OVERLOADED = 2  # the server rejected the request without processing it
     TIMEOUT = 3
-    UNREACHABLE = 4  # no connection was made
+    UNREACHABLE = 4  # no connection could be established
     RESET = 5
     CANCELLED = 6
     NOT_SENT = 7
-    REJECTED = 8  # the request itself was turned down as unusable; no fault of the server
+    REJECTED = 8  # the request itself is invalid, which says nothing about the server
 
 
 NEVER_RAN = frozenset({Status.OVERLOADED, Status.UNREACHABLE, Status.NOT_SENT})
-"""Outcomes that prove the attempt did not run."""
+"""Outcomes which prove that the server did not process the request."""
 
 
 class EndpointState(IntEnum):
-    """Where an endpoint stands in its life, as discovery tells it."""
+    """Lifecycle state of an endpoint as published by discovery."""
 
     GONE = 0
     READY = 1
@@ -41,15 +40,15 @@
 class MembershipKind(IntEnum):
     """What a membership event carries."""
 
-    FAILED = 0
-    CACHED = 1
-    FULL = 2
-    DELTA = 3
+    FAILED = 0  # no list: a call to discovery failed or the subscription broke
+    CACHED = 1  # a complete list that was known before and may be out of date
+    FULL = 2  # the complete current list
+    DELTA = 3  # only the endpoints that changed
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One row of a membership list."""
+    """One entry of the list of backends."""
 
     name: str
     zone: int = 0
@@ -57,99 +56,102 @@
     cell: int = 0
     state: EndpointState = EndpointState.READY
     size_hint: float = 1.0
-    started_ms: float = 0.0  # 0: long ago
+    started_ms: float = 0.0  # when its process started; 0: too long ago to matter
 
 
 @dataclass(slots=True)
 class Group:
-    """What the endpoints of one zone and kind have in common, learnt sooner than of each alone."""
+    """Estimates for all endpoints of one zone and kind; they converge sooner than those of one server."""
 
     size_updated_at: float
-    load: float = 0.0  # usual log load
-    size: float = 0.0  # log size
-    count: int = 0  # figures taken
-    cores: float = 0.0  # requests that one of them works on at a time, while others queue there
-    queueing_reports: int = 0  # reports of that taken
+    load: float = 0.0  # smoothed log load
+    size: float = 0.0  # log of the capacity relative to the size hint
+    count: int = 0  # load observations so far
+    cores: float = 0.0  # requests that one server processes in parallel while others queue there
+    queueing_reports: int = 0  # load reports from servers with a queue so far
 
 
 @dataclass(slots=True)
 class LatencyStats:
-    """Smoothed mean and mean deviation of one class's served latency."""
+    """Smoothed mean and mean deviation of the latency of one request class, in milliseconds."""
 
     mean: float
     deviation: float
     count: int = 0
-    initial_mean: float = field(init=False)  # the mean before anything was seen
+    initial_mean: float = field(init=False)  # the mean before the first observation
 
     def __post_init__(self) -> None:
         self.initial_mean = self.mean
 
     def observed_mean(self) -> float:
-        """The mean of what was seen, too low rather than too high: the guess, which is no fact, left out."""
+        """The mean without the initial guess; after few observations it is rather too low than too high."""
         return self.mean - self.initial_mean / (self.count + 1)
 
-    def add(self, latency_ms: float, least_gain: float) -> None:
-        """Take one latency; the first few count evenly."""
+    def add(self, latency_ms: float, min_gain: float) -> None:
+        """Add one observation; the first few have equal weight, later ones the weight ``min_gain``."""
         self.count += 1
-        gain = max(least_gain, 1.0 / (self.count + 1))
+        gain = max(min_gain, 1.0 / (self.count + 1))
         self.deviation += gain * (abs(latency_ms - self.mean) - self.deviation)
         self.mean += gain * (latency_ms - self.mean)
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What a node knows of one endpoint."""
+    """What a node knows about one endpoint."""
 
     endpoint: Endpoint
-    load_updated_at: float  # when the load figure was learnt
+    load_updated_at: float  # when ``load`` was last updated; in the future for an ejected server
     group: Group
     ready: bool = False
-    tokens: float = 0.0  # sends that slow start allows
-    tokens_at: float = 0.0
-    load: float = 0.0  # log of the last known load over the usual one
-    size: float = 0.0  # log of its learnt size over its group's
-    size_updated_at: float = 0.0  # when the size was last revised
-    failure_rate: float = 0.0  # smoothed share of failures
-    ejections: int = 0  # in a row
+    tokens: float = 0.0  # token bucket of slow start: requests that may be sent now
+    tokens_at: float = 0.0  # when the bucket was last refilled
+    load: float = 0.0  # log of the last known load relative to the usual load
+    size: float = 0.0  # log of the estimated capacity relative to its group's
+    size_updated_at: float = 0.0
+    failure_rate: float = 0.0  # smoothed share of failed attempts, 0 to 1
+    ejections: int = 0  # consecutive
     ejected_until: float = 0.0
-    in_flight: int = 0  # attempts of this node that are out
-    warmup_boost: float = 1.0  # how much more than the least promised it has shown to bear while cold
-    salt: int = 0  # of its name: mixes keys for the split
-    last_response_at: float = 0.0  # when an attempt last brought anything back
-    unanswered: int = 0  # attempts overdue in a row, with nothing heard since they were sent
-    connect_failures: int = 0  # connections in a row that did not come up
-    reported_requests: float = 0.0  # requests that it last reported to hold
-    reported_at: float = 0.0  # when it did
-    sent_since_report: int = 0  # requests of this node sent there since
-    on_probation: bool = False  # back from ejection and not yet proven: one attempt at a time
+    in_flight: int = 0  # open attempts of this node
+    warmup_boost: float = 1.0  # load it bears while cold, as a multiple of what the settings guarantee
+    salt: int = 0  # hash of its name; mixed with a request's key to rank servers
+    last_response_at: float = 0.0  # when it last answered any attempt
+    unanswered: int = 0  # consecutive overdue attempts without any response since they were sent
+    connect_failures: int = 0  # consecutive
+    reported_requests: float = 0.0  # requests in flight there according to its last load report
+    reported_at: float = 0.0  # when that report arrived
+    sent_since_report: int = 0  # requests that this node has sent there since that report
+    on_probation: bool = False  # back from ejection without a success yet: one attempt at a time
 
     def usable(self, now: float) -> bool:
-        """Whether it takes work and is not left out."""
+        """Whether it is ready and not ejected."""
         return self.ready and self.ejected_until <= now
 
 
 @dataclass(slots=True)
 class AdmissionPeriod:
-    """What a node counts from one revision of the admission to the next."""
+    """Counters of one control period of admission; a new period starts with each update of the admission."""
 
     start: float
     arrivals: int = 0
-    retries: int = 0  # marked as a client's repeat
+    retries: int = 0  # arrivals that the client marked as a retry
     refused: int = 0
-    delay_sum: float = 0.0  # in aims
+    delay_sum: float = 0.0  # latencies as multiples of the target latency of their class
     count: int = 0
-    latency_sum: float = 0.0  # in milliseconds, of those that a server held
+    latency_sum: float = 0.0  # ms, only of attempts that a server processed
     processed: int = 0
-    utilization_sum: float = 0.0  # of the use that servers report
+    utilization_sum: float = 0.0  # of the utilization that servers report, 0 to 1
     utilization_count: int = 0
 
-    def add_utilization(self, busy: float) -> None:
-        """Count one server's reported use."""
-        self.utilization_sum += busy
+    def add_utilization(self, utilization: float) -> None:
+        """Add the utilization that one server reported."""
+        self.utilization_sum += utilization
         self.utilization_count += 1
 
     def add(self, delay: float, latency_ms: float, processed: bool) -> None:
-        """Count one delay; ``processed``: a server had it for so long, it was not turned away at once."""
+        """Add one attempt; ``delay``: its latency as a multiple of the target latency of its class.
+
+        ``processed``: the server processed the request instead of rejecting it at once.
+        """
         self.delay_sum += delay
         self.latency_sum += latency_ms * processed
         self.processed += processed
@@ -158,35 +160,35 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A client's request landed on this node."""
+    """A client's request has arrived at this node."""
 
     request_id: str
     class_index: int
     tenant: int
     deadline: float
     is_retry: bool = False
-    key: str = ""  # what the request is about, where it says so
+    key: str = ""  # of the object that the request is about; empty: unknown
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send; ``status`` is None while it is out."""
+    """One attempt of a request at one server; ``status`` is None while it is in flight."""
 
     server: Server
     sent_at: float
     status: Status | None = None
 
     def may_have_run(self) -> bool:
-        """True unless its outcome proves that it did not."""
+        """False only if its outcome proves that the server did not process it."""
         return self.status not in NEVER_RAN
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's try as the node keeps it, until it is done and no attempt is out."""
+    """A client's request; kept until it is answered and none of its attempts is in flight."""
 
     arrival: Arrival
     cls: RequestClass
-    target_at: float  # an answer by then has its full worth
-    done: bool = False
+    target_at: float  # an answer until this time has its full value
+    done: bool = False  # it has its final answer, or its client is gone
     attempts: list[Attempt] = field(default_factory=list)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinlink.adapter import NodeHost, WireError
+from lupinlink.adapter import NodeHost, SimulatorProtocolError
 from lupinlink.settings import Effect, parse_settings
 
 SETTINGS = json.dumps(
@@ -109,7 +109,7 @@
 @given(st.text(alphabet="SUBMITRESOLVD node_1 0a:-.5\n{}", max_size=120))
 def test_fuzzed_lines_never_leave_half_a_reply(noise: str) -> None:
     sink = io.StringIO()
-    with contextlib.suppress(WireError, ValueError, KeyError, IndexError):
+    with contextlib.suppress(SimulatorProtocolError, ValueError, KeyError, IndexError):
         NodeHost().serve(io.StringIO(batch(0.0, create("node_1")) + batch(1.0, noise + "\n")), sink)
     assert sink.getvalue().endswith("YIELD\n")
 
