--- a/lupinlink/adapter.py
+++ b/lupinlink/adapter.py
@@ -75,44 +75,39 @@
     return report
 
 
-def _arrival(fields: list[str]) -> Event:
-    tenant = 0 if fields[4] == "-" else int(fields[4])
+def _arrival(args: list[str]) -> Event:
+    tenant = 0 if args[4] == "-" else int(args[4])
     return Arrival(
-        fields[2],
-        int(fields[3]),
-        tenant,
-        float(fields[6]),
-        fields[8] == "1",
-        "" if fields[5] == "-" else fields[5],
+        args[2], int(args[3]), tenant, float(args[6]), args[8] == "1", "" if args[5] == "-" else args[5]
     )
 
 
-def _outcome(fields: list[str]) -> Event:
+def _outcome(args: list[str]) -> Event:
     return Outcome(
-        fields[2],
-        STATUS_BY_NAME[fields[3]],
-        float(fields[4]),
-        int(fields[5]),
-        fields[6] == "1",
-        fields[7],
-        _report(fields[8]),
+        args[2],
+        STATUS_BY_NAME[args[3]],
+        float(args[4]),
+        int(args[5]),
+        args[6] == "1",
+        args[7],
+        _report(args[8]),
     )
 
 
-def _stream_started(fields: list[str]) -> Event:
-    return StreamStarted(fields[2], int(fields[3]), float(fields[4]), fields[5])
+def _stream_started(args: list[str]) -> Event:
+    return StreamStarted(args[2], int(args[3]), float(args[4]), args[5])
 
 
-def _client_gone(fields: list[str]) -> Event:
-    return ClientGone(fields[2])
+def _client_gone(args: list[str]) -> Event:
+    return ClientGone(args[2])
 
 
-def _timer_fired(fields: list[str]) -> Event:
-    return TimerFired(int(fields[2]))
+def _timer_fired(args: list[str]) -> Event:
+    return TimerFired(int(args[2]))
 
 
-def _probe_result(fields: list[str]) -> Event:
-    return ProbeResult(fields[2], STATUS_BY_NAME[fields[4]], _number(fields[3]), _report(fields[5]))
+def _probe_result(args: list[str]) -> Event:
+    return ProbeResult(args[2], STATUS_BY_NAME[args[4]], _number(args[3]), _report(args[5]))
 
 
 # Message type -> number of fields and decoder.
@@ -127,18 +122,12 @@
 
 
 def _endpoint(line: str) -> Endpoint:
-    fields = line.split(" ")
-    if fields[0] != "SERVER" or len(fields) != 8:
+    args = line.split(" ")
+    if args[0] != "SERVER" or len(args) != 8:
         raise SimulatorProtocolError(f"expected a SERVER line with 8 fields, got {line[:40]!r}")
-    hint = 1.0 if fields[6] == "-" else float(fields[6])
+    hint = 1.0 if args[6] == "-" else float(args[6])
     return Endpoint(
-        fields[1],
-        int(fields[2]),
-        int(fields[3]),
-        int(fields[4]),
-        EndpointState(int(fields[5])),
-        hint,
-        _number(fields[7]),
+        args[1], int(args[2]), int(args[3]), int(args[4]), EndpointState(int(args[5])), hint, _number(args[7])
     )
 
 
