--- a/lupinlink/adapter.py
+++ b/lupinlink/adapter.py
@@ -39,7 +39,7 @@
 )
 from lupinlink.settings import REPORT_FIELDS, SettingsError, parse_settings
 
-STATUS_BY_NAME = {
+STATUSES = {
     "OK": Status.OK,
     "INTERNAL": Status.ERROR,
     "RESOURCE_EXHAUSTED": Status.OVERLOADED,
@@ -84,13 +84,7 @@
 
 def _outcome(args: list[str]) -> Event:
     return Outcome(
-        args[2],
-        STATUS_BY_NAME[args[3]],
-        float(args[4]),
-        int(args[5]),
-        args[6] == "1",
-        args[7],
-        _report(args[8]),
+        args[2], STATUSES[args[3]], float(args[4]), int(args[5]), args[6] == "1", args[7], _report(args[8])
     )
 
 
@@ -107,7 +101,7 @@
 
 
 def _probe_result(args: list[str]) -> Event:
-    return ProbeResult(args[2], STATUS_BY_NAME[args[4]], _number(args[3]), _report(args[5]))
+    return ProbeResult(args[2], STATUSES[args[4]], _number(args[3]), _report(args[5]))
 
 
 # Message type -> number of fields and decoder.
