--- a/lupinlink/errors.py
+++ b/lupinlink/errors.py
@@ -1,8 +1,8 @@
 """Base class of all errors that are reported to operators.
 
-Each error type has a ``code``, which is stable and never reused, one line ``about`` what has happened, and one
-line on the ``remedy``. The message of an instance says what happened this time. docs/operators/errors.md lists
-all codes and is generated from these types by tests/test_errors.py.
+Each error type has a ``code``, which is stable and never reused, one line ``about`` what has happened and one
+line on the ``remedy``. The message of an instance says what happened this time. docs/operators/errors.md
+lists all codes and is generated from these types by tests/test_errors.py.
 """
 
 from __future__ import annotations
--- a/lupinlink/limits/__init__.py
+++ b/lupinlink/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Who may connect and hold how much, and what a farm can bear: pure, told of times, addresses and reports."""
+"""Limits on client connections and on the admitted load. Performs no I/O; the caller passes the current time."""
--- a/lupinlink/limits/body_progress.py
+++ b/lupinlink/limits/body_progress.py
@@ -1,45 +1,51 @@
-"""Whether what a client sends gets on: heads by the clock, bodies by their rate. Pure; milliseconds."""
+"""Limits for slow clients: time-outs for request heads, a minimum rate for request bodies.
+
+Performs no I/O; the caller passes the current time in milliseconds.
+"""
 
 from __future__ import annotations
 
-HEAD_TIMEOUT_MS = 2500.0  # a further head on a kept connection, from its first byte
-# The first head, from connecting: clients in earnest take up to 2 s, others are owed an end within 3 s.
+HEAD_TIMEOUT_MS = 2500.0  # for the later heads of a kept-alive connection, from their first byte
+# For the first head, from accepting the connection: slow but valid clients take up to 2 s, and clients that
+# send nothing have to be disconnected within 3 s.
 FIRST_HEAD_TIMEOUT_MS = 2850.0
-MIN_BYTES_PER_MS = 32.0  # bytes a millisecond: half of what is promised
-GRACE_MS = 1000.0  # not judged before that
-STALL_TIMEOUT_MS = 2000.0  # however much has come: nothing more for so long is no progress
+MIN_BYTES_PER_MS = 32.0  # half of the rate that is promised for clients
+GRACE_MS = 1000.0  # the rate does not count before this time
+STALL_TIMEOUT_MS = 2000.0  # without any byte, however many have arrived before
 
 
 class BodyProgress:
-    """A body on its way in. Time during which its sender was held back does not count."""
+    """Progress of a request body. Time during which the proxy does not read from the client does not count."""
 
-    __slots__ = ("_began", "_came", "_held_since", "_last", "_waited")
+    __slots__ = ("_began_at", "_last_byte_at", "_paused_ms", "_paused_since", "_received_bytes")
 
     def __init__(self, now: float) -> None:
-        self._began = self._last = now
-        self._came = 0
-        self._waited = 0.0
-        self._held_since: float | None = None
+        self._began_at = self._last_byte_at = now
+        self._received_bytes = 0
+        self._paused_ms = 0.0
+        self._paused_since: float | None = None
 
     def received(self, count: int, now: float) -> None:
-        """So many bytes are here."""
-        self._came += count
-        self._last = now
+        """Record that ``count`` bytes have arrived."""
+        self._received_bytes += count
+        self._last_byte_at = now
 
     def pause(self, now: float) -> None:
-        """Its sender is not read from here on."""
-        if self._held_since is None:
-            self._held_since = now
+        """Record that the proxy stops reading from the client."""
+        if self._paused_since is None:
+            self._paused_since = now
 
     def resume(self, now: float) -> None:
-        """It is read again."""
-        if self._held_since is not None:
-            self._waited += now - self._held_since
-            self._held_since, self._last = None, now
+        """Record that the proxy reads from the client again."""
+        if self._paused_since is not None:
+            self._paused_ms += now - self._paused_since
+            self._paused_since, self._last_byte_at = None, now
 
     def timed_out(self, now: float) -> bool:
-        """Whether it has stopped, or comes too slowly to be waited for."""
-        if self._held_since is not None:
+        """Whether the body has stalled or arrives below the minimum rate."""
+        if self._paused_since is not None:
             return False
-        spent = now - self._began - self._waited - GRACE_MS
-        return now - self._last > STALL_TIMEOUT_MS or (spent > 0.0 and self._came < MIN_BYTES_PER_MS * spent)
+        reading_ms = now - self._began_at - self._paused_ms - GRACE_MS
+        return now - self._last_byte_at > STALL_TIMEOUT_MS or (
+            reading_ms > 0.0 and self._received_bytes < MIN_BYTES_PER_MS * reading_ms
+        )
--- a/lupinlink/limits/idle_reuse.py
+++ b/lupinlink/limits/idle_reuse.py
@@ -1,14 +1,16 @@
-"""Which connections at rest are worth their place: learnt from how often, and how soon, they are asked again.
-
-A client may ask once, keep its connection and never come back on it. What it may hold is limited on
-its own side, where the proxy cannot see, so connections that nobody uses keep its next requests from being
-sent at all. Closing one that would have been asked again costs a new connection instead. So a place is
-given up once the odds of its being asked again fall under the price of a place, which rises as places run
-out.
-
-The odds are the product-limit estimate (Kaplan and Meier, 1958) with two ways to end, being asked again and
-being left: connections that still rest and those that were cut count for as long as they were seen, so that
-a crowd that never comes back shows in tenths of a second and not only when it leaves.
+"""Decides which idle client connections to keep, by the estimated probability that they are used again.
+
+A client may send one request, keep its connection and never use it again. The number of its connections is
+limited on its own side, where the proxy cannot see it, so unused connections can keep its next requests from
+being sent at all. Closing a connection that would have been used again costs a new connection. An idle
+connection is therefore closed once its reuse probability falls below a threshold that rises with the share of
+connection slots in use.
+
+The probability is the product-limit estimate (Kaplan and Meier, 1958) with two competing events: the
+connection is used again, or the client closes it. Connections that are still idle or were closed by the proxy
+count as censored observations, so that clients which never come back are detected within tenths of a second
+and not only when they close their connections. Performs no I/O; the caller passes the current time in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -19,24 +21,25 @@
 from collections.abc import Iterable
 from enum import Enum
 
-AGES_MS = (0.0, 25.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1600.0)  # where the spans of a rest's age begin
-# Share of rests asked again within each span, as long as nothing was seen: most that return do so soon.
-USUAL = (0.3, 0.3, 0.3, 0.3, 0.2, 0.1, 0.05, 0.02)
-OWN_WEIGHT, ALL_WEIGHT = (
-    8.0,
-    4.0,
-)  # rests that everybody's figures count for at an address, and USUAL for those
-HALF_LIFE_MS = 5000.0  # a rest seen so long ago counts for half
-REFRESH_MS = 100.0
-ADDRESSES = 64  # remembered; the one heard of least lately goes
-FREE_SHARE, DEAR_SHARE = 0.25, 0.75  # of all places taken: up to here one costs nothing, from here on all
-# One rest in so many is left alone, and no more than that share of the places at once: odds that nobody
-# tests would never be corrected, but each test costs a place for as long as it lasts.
-SPARED_EACH, SPARED_SHARE = 8, 0.02
+AGE_BUCKETS_MS = (0.0, 25.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1600.0)  # lower bounds
+# Prior share of connections reused within each age bucket; most that are reused at all are reused soon.
+PRIOR_REUSE = (0.3, 0.3, 0.3, 0.3, 0.2, 0.1, 0.05, 0.02)
+# Weights of the priors in observations: of the global estimate for one address, of PRIOR_REUSE for the global
+# one.
+ADDRESS_PRIOR_WEIGHT, GLOBAL_PRIOR_WEIGHT = 8.0, 4.0
+HALF_LIFE_MS = 5000.0  # of the weight of an observation
+REFRESH_MS = 100.0  # minimum interval between two updates of the probabilities
+MAX_ADDRESSES = 64  # tracked individually; the least recently used one is dropped
+# Shares of connection slots in use: up to the first all idle connections are kept, from the second on none
+# is.
+LOW_OCCUPANCY, HIGH_OCCUPANCY = 0.25, 0.75
+# One idle connection in EXEMPT_EVERY is kept regardless: without such samples a low estimate would never be
+# corrected. Each sample costs a slot for as long as it lasts, so they may take only this share of all slots.
+EXEMPT_EVERY, MAX_EXEMPT_SHARE = 8, 0.02
 
 
 class IdleEnd(Enum):
-    """How a rest came to its end."""
+    """How an idle period ended."""
 
     REUSED = "asked again"
     CLOSED_BY_CLIENT = "left"
@@ -44,139 +47,144 @@
 
 
 class History:
-    """Rests by the span of age in which they ended, decayed counts."""
+    """Exponentially decayed counts of idle periods by the age bucket in which they ended."""
 
-    __slots__ = ("asked", "at", "left", "reuse_probability", "seen")
+    __slots__ = ("censored", "closed", "decayed_at", "reuse_probability", "reused")
 
     def __init__(self) -> None:
-        self.asked = [0.0] * len(AGES_MS)
-        self.left = [0.0] * len(AGES_MS)
-        self.seen = [0.0] * len(AGES_MS)  # cut in that span: known to have come so far
-        self.reuse_probability = [0.0] * len(
-            AGES_MS
-        )  # of being asked again, for a rest that has come into the span
-        self.at = -math.inf  # when counts were last decayed
+        self.reused = [0.0] * len(AGE_BUCKETS_MS)
+        self.closed = [0.0] * len(AGE_BUCKETS_MS)
+        self.censored = [0.0] * len(AGE_BUCKETS_MS)  # closed by the proxy in that bucket
+        # Of a connection that has been idle up to that bucket.
+        self.reuse_probability = [0.0] * len(AGE_BUCKETS_MS)
+        self.decayed_at = -math.inf
 
     def decay(self, now: float) -> None:
-        factor = 0.5 ** ((now - self.at) / HALF_LIFE_MS)
-        self.at = now
-        for counts in (self.asked, self.left, self.seen):
+        factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_MS)
+        self.decayed_at = now
+        for counts in (self.reused, self.closed, self.censored):
             counts[:] = [count * factor for count in counts]
 
-    def revise(self, resting: list[int], prior: list[float], weight: float) -> list[float]:
-        """Draw up the odds; gives the share asked again within each span.
+    def update_probabilities(
+        self, idle_counts: list[int], prior: list[float], prior_weight: float
+    ) -> list[float]:
+        """Recompute the probabilities and return the share reused within each age bucket.
 
-        ``resting``: how many rest now in each span; ``prior``: shares that ``weight`` rests stand for.
+        ``idle_counts``: numbers of connections now idle in each bucket; ``prior``: shares assumed with the
+        weight of ``prior_weight`` observations.
         """
-        beyond, reuse_probability = 0.0, 0.0
-        shares = [0.0] * len(AGES_MS)
-        for i in reversed(range(len(AGES_MS))):
-            asked, left = self.asked[i], self.left[i]
-            known = weight + beyond + asked + left
-            shares[i] = (weight * prior[i] + asked) / known
-            reuse_probability = shares[i] + max(0.0, 1.0 - shares[i] - left / known) * reuse_probability
+        survivors, reuse_probability = 0.0, 0.0
+        shares = [0.0] * len(AGE_BUCKETS_MS)
+        for i in reversed(range(len(AGE_BUCKETS_MS))):
+            reused, closed = self.reused[i], self.closed[i]
+            at_risk = prior_weight + survivors + reused + closed
+            shares[i] = (prior_weight * prior[i] + reused) / at_risk
+            reuse_probability = shares[i] + max(0.0, 1.0 - shares[i] - closed / at_risk) * reuse_probability
             self.reuse_probability[i] = reuse_probability
-            beyond += asked + left + self.seen[i] + resting[i]
+            survivors += reused + closed + self.censored[i] + idle_counts[i]
         return shares
 
 
 class IdlePeriod:
-    """A connection between two requests."""
+    """The time that a connection is idle between two requests; ``exempt``: it is kept as a sample."""
 
-    __slots__ = ("history", "since", "spared")
+    __slots__ = ("exempt", "history", "since")
 
-    def __init__(self, history: History, since: float, spared: bool) -> None:
-        self.history, self.since, self.spared = history, since, spared
+    def __init__(self, history: History, since: float, exempt: bool) -> None:
+        self.history, self.since, self.exempt = history, since, exempt
 
 
-def span(age_ms: float) -> int:
-    """The number of the span of age that a rest is in."""
-    return max(0, bisect_right(AGES_MS, age_ms) - 1)
+def age_bucket(age_ms: float) -> int:
+    """Return the index of the age bucket."""
+    return max(0, bisect_right(AGE_BUCKETS_MS, age_ms) - 1)
 
 
 class IdleReuse:
-    """The odds that connections are asked again, for everybody and by address, and the price of a place."""
+    """Estimates the reuse probability of idle connections, in total and by client address."""
 
-    def __init__(self, places: int) -> None:
-        self._spared_most = max(1, int(places * SPARED_SHARE))
-        self._spared = 0
-        self._all = History()
-        self._own: OrderedDict[str, History] = OrderedDict()
+    def __init__(self, capacity: int) -> None:
+        self._max_exempt = max(1, int(capacity * MAX_EXEMPT_SHARE))
+        self._exempt = 0
+        self._global = History()
+        self._by_address: OrderedDict[str, History] = OrderedDict()
         self._count = 0
-        self._refreshed = -math.inf
-        self._all.revise([0] * len(AGES_MS), list(USUAL), ALL_WEIGHT)
+        self._refreshed_at = -math.inf
+        self._global.update_probabilities([0] * len(AGE_BUCKETS_MS), list(PRIOR_REUSE), GLOBAL_PRIOR_WEIGHT)
 
     def __len__(self) -> int:
-        """Addresses that are remembered."""
-        return len(self._own)
+        """The number of tracked addresses."""
+        return len(self._by_address)
 
     def idle_began(self, address: str, now: float) -> IdlePeriod:
-        """A connection from ``address`` has its answer and stays; ``now`` in milliseconds."""
-        spared = self._spares()
+        """Record that a connection from ``address`` has become idle."""
+        exempt = self._is_exempt()
         self._count += 1
-        self._spared += spared
-        return IdlePeriod(self._history(address, now), now, spared)
-
-    def idle_ended(self, rest: IdlePeriod, now: float, how: IdleEnd) -> None:
-        """The rest is over."""
-        self._spared -= rest.spared
-        at = span(now - rest.since)
-        for history in (self._all, rest.history):
-            if how is IdleEnd.REUSED:
-                history.asked[at] += 1.0
-            elif how is IdleEnd.CLOSED_BY_CLIENT:
-                history.left[at] += 1.0
+        self._exempt += exempt
+        return IdlePeriod(self._history_of(address, now), now, exempt)
+
+    def idle_ended(self, idle: IdlePeriod, now: float, end: IdleEnd) -> None:
+        """Record how an idle period has ended."""
+        self._exempt -= idle.exempt
+        bucket = age_bucket(now - idle.since)
+        for history in (self._global, idle.history):
+            if end is IdleEnd.REUSED:
+                history.reused[bucket] += 1.0
+            elif end is IdleEnd.CLOSED_BY_CLIENT:
+                history.closed[bucket] += 1.0
             else:
-                history.seen[at] += 1.0
+                history.censored[bucket] += 1.0
 
     def reuse_probability(self, address: str, age_ms: float = 0.0) -> float:
-        """How likely a connection from there that has rested so long is asked again, 0 to 1."""
-        return self._own.get(address, self._all).reuse_probability[span(age_ms)]
-
-    def worth_keeping(self, address: str, taken: float) -> bool:
-        """Whether a connection that has just had its answer should stay; ``taken``: share of places used."""
-        stays = self.reuse_probability(address) >= keep_threshold(taken) or self._spares()
-        self._count += not stays
-        return stays
-
-    def _spares(self) -> bool:
-        return (self._count + 1) % SPARED_EACH == 0 and self._spared < self._spared_most
-
-    def should_close(self, rest: IdlePeriod, taken: float, now: float) -> bool:
-        """Whether a rest should end now."""
-        return not rest.spared and rest.history.reuse_probability[span(now - rest.since)] < keep_threshold(
-            taken
-        )
-
-    def refresh(self, resting: Iterable[IdlePeriod], now: float) -> None:
-        """Draw up the odds anew, if that was not done just now; ``resting``: every rest of this moment."""
-        if now - self._refreshed < REFRESH_MS:
+        """The probability, 0 to 1, that a connection from ``address``, idle for ``age_ms``, is used again."""
+        return self._by_address.get(address, self._global).reuse_probability[age_bucket(age_ms)]
+
+    def worth_keeping(self, address: str, occupancy: float) -> bool:
+        """Whether to keep a connection whose request was just answered.
+
+        ``occupancy``: share of connection slots in use, 0 to 1.
+        """
+        keep = self.reuse_probability(address) >= keep_threshold(occupancy) or self._is_exempt()
+        self._count += not keep
+        return keep
+
+    def _is_exempt(self) -> bool:
+        return (self._count + 1) % EXEMPT_EVERY == 0 and self._exempt < self._max_exempt
+
+    def should_close(self, idle: IdlePeriod, occupancy: float, now: float) -> bool:
+        """Whether to close a connection that is idle now; ``occupancy`` as for ``worth_keeping``."""
+        return not idle.exempt and idle.history.reuse_probability[
+            age_bucket(now - idle.since)
+        ] < keep_threshold(occupancy)
+
+    def refresh(self, idle_periods: Iterable[IdlePeriod], now: float) -> None:
+        """Update all probabilities, at most every REFRESH_MS; ``idle_periods``: all present ones."""
+        if now - self._refreshed_at < REFRESH_MS:
             return
-        self._refreshed = now
-        every = [0] * len(AGES_MS)
+        self._refreshed_at = now
+        all_counts = [0] * len(AGE_BUCKETS_MS)
         by_history: dict[History, list[int]] = {}
-        for rest in resting:
-            at = span(now - rest.since)
-            every[at] += 1
-            by_history.setdefault(rest.history, [0] * len(AGES_MS))[at] += 1
-        self._all.decay(now)
-        shares = self._all.revise(every, list(USUAL), ALL_WEIGHT)
-        none = [0] * len(AGES_MS)
-        for history in self._own.values():
+        for idle in idle_periods:
+            bucket = age_bucket(now - idle.since)
+            all_counts[bucket] += 1
+            by_history.setdefault(idle.history, [0] * len(AGE_BUCKETS_MS))[bucket] += 1
+        self._global.decay(now)
+        shares = self._global.update_probabilities(all_counts, list(PRIOR_REUSE), GLOBAL_PRIOR_WEIGHT)
+        no_idle = [0] * len(AGE_BUCKETS_MS)
+        for history in self._by_address.values():
             history.decay(now)
-            history.revise(by_history.get(history, none), shares, OWN_WEIGHT)
+            history.update_probabilities(by_history.get(history, no_idle), shares, ADDRESS_PRIOR_WEIGHT)
 
-    def _history(self, address: str, now: float) -> History:
-        history = self._own.get(address)
+    def _history_of(self, address: str, now: float) -> History:
+        history = self._by_address.get(address)
         if history is None:
-            history = self._own[address] = History()
-            history.at, history.reuse_probability = now, list(self._all.reuse_probability)
-            if len(self._own) > ADDRESSES:
-                self._own.popitem(last=False)
-        self._own.move_to_end(address)
+            history = self._by_address[address] = History()
+            history.decayed_at, history.reuse_probability = now, list(self._global.reuse_probability)
+            if len(self._by_address) > MAX_ADDRESSES:
+                self._by_address.popitem(last=False)
+        self._by_address.move_to_end(address)
         return history
 
 
-def keep_threshold(taken: float) -> float:
-    """The odds under which a place is worth more to others; ``taken``: share of all places in use, 0 to 1."""
-    return min(max((taken - FREE_SHARE) / (DEAR_SHARE - FREE_SHARE), 0.0), 1.0)
+def keep_threshold(occupancy: float) -> float:
+    """The minimum reuse probability for keeping an idle connection at this share of slots in use, 0 to 1."""
+    return min(max((occupancy - LOW_OCCUPANCY) / (HIGH_OCCUPANCY - LOW_OCCUPANCY), 0.0), 1.0)
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -10,7 +10,14 @@
 from itertools import count
 from typing import Any, ClassVar
 
-from lupinlink.limits.idle_reuse import ADDRESSES, SPARED_EACH, IdleEnd, IdlePeriod, IdleReuse, keep_threshold
+from lupinlink.limits.idle_reuse import (
+    EXEMPT_EVERY,
+    MAX_ADDRESSES,
+    IdleEnd,
+    IdlePeriod,
+    IdleReuse,
+    keep_threshold,
+)
 from tests.stage import WAIT, ApplicationServer, Stage, row
 
 CROWDED = 0.6  # share of places in use
@@ -55,7 +62,7 @@
         for _ in range(40):
             self.rest("a", 1600.0, IdleEnd.CLOSED_BY_CLIENT)
         kept = 0
-        for _ in range(60 * SPARED_EACH):
+        for _ in range(60 * EXEMPT_EVERY):
             if self.returns.worth_keeping("a", CROWDED):
                 kept += 1
                 self.rest("a", 30.0, IdleEnd.REUSED)
@@ -63,7 +70,7 @@
         self.assertTrue(self.returns.worth_keeping("a", CROWDED))
 
     def test_few_are_left_alone_at_once(self) -> None:
-        spared = sum(self.returns.idle_began("a", 0.0).spared for _ in range(400))
+        spared = sum(self.returns.idle_began("a", 0.0).exempt for _ in range(400))
         self.assertEqual(spared, 4)  # of 200 places
 
     def test_rests_cut_short_do_not_count_as_left(self) -> None:
@@ -74,9 +81,9 @@
         self.assertGreater(self.returns.reuse_probability("a"), 0.8)
 
     def test_more_addresses_than_are_remembered(self) -> None:
-        for i in range(3 * ADDRESSES):
+        for i in range(3 * MAX_ADDRESSES):
             self.rest(f"address {i}", 1.0, IdleEnd.CLOSED_BY_CLIENT)
-        self.assertEqual(len(self.returns), ADDRESSES)
+        self.assertEqual(len(self.returns), MAX_ADDRESSES)
 
 
 class Crowd(Stage):
