--- a/lupinlink/limits/body_progress.py
+++ b/lupinlink/limits/body_progress.py
@@ -15,7 +15,7 @@
 
 
 class BodyProgress:
-    """Progress of a request body. Time during which the proxy does not read from the client does not count."""
+    """Progress of a request body; time in which the proxy does not read from the client is excluded."""
 
     __slots__ = ("_began_at", "_last_byte_at", "_paused_ms", "_paused_since", "_received_bytes")
 
--- a/lupinlink/settings/__init__.py
+++ b/lupinlink/settings/__init__.py
@@ -1,4 +1,4 @@
-"""What a proxy is told at its start: the one Settings type, the one parser, and the sockets' Config."""
+"""Settings of the decision module (Settings), their parser, and the configuration of a proxy (Config)."""
 
 from lupinlink.settings.config import ENVIRONMENT_VARIABLES as ENVIRONMENT_VARIABLES
 from lupinlink.settings.config import MAX_SOCKETS as MAX_SOCKETS
--- a/lupinlink/settings/model.py
+++ b/lupinlink/settings/model.py
@@ -1,4 +1,4 @@
-"""The one Settings type and what it holds, with the wire's names; and the error for what cannot be used."""
+"""The Settings of the decision module, with the types they consist of, and the error for invalid input."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class SettingsError(LupinError, ValueError):
-    """What was told at the start cannot be used; the text is one plain line."""
+    """The configuration or the settings are invalid; the message is one line."""
 
     code = "LL601"
-    about = "what the program was told at its start, or anew, cannot be used"
-    remedy = "mend what the line names (lupinlink check reads it again); a running proxy goes on as it was"
+    about = "the configuration, read at the start or on a reload, is invalid"
+    remedy = "correct what the line names and run lupinlink check; a running proxy keeps its configuration"
 
 
 class Effect(IntEnum):
-    """What a repeat of a request may do."""
+    """Whether a request may be sent more than once."""
 
-    SAFE = 0
-    KEYED = 1  # a group of endpoints drops repeats of the same request for a while
-    UNSAFE = 2
+    SAFE = 0  # it has no side effects
+    KEYED = 1  # endpoints that share a deduplication memory ignore copies of it for a while
+    UNSAFE = 2  # each copy may have an effect of its own
 
 
 class DedupScope(IntEnum):
-    """The endpoints that share one memory of keyed requests."""
+    """Which endpoints share the deduplication memory for keyed requests."""
 
     ALL = 0
     ZONE = 1
@@ -34,21 +34,21 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests; times are in milliseconds."""
 
     target_latency_ms: float
     deadline_ms: float
     value: float = 1.0
-    late_value: float = 0.0  # share of the worth that an answer after the aim still has
+    late_value: float = 0.0  # share of the value that an answer has after the target latency, 0 to 1
     effect: Effect = Effect.UNSAFE
     scope: DedupScope = DedupScope.CELL
-    dedup_ms: float = 0.0
-    name: str = ""  # as requests on sockets give it
+    dedup_ms: float = 0.0  # how long endpoints remember a keyed request
+    name: str = ""  # by which HTTP requests select the class
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant; ``quota_per_s`` is its share for all nodes together."""
+    """One tenant; ``quota_per_s`` is its quota at all nodes together, in requests per second."""
 
     quota_per_s: float
     name: str = ""
@@ -56,31 +56,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a node is told at its start."""
+    """The settings of the decision module. Names that end in ``_ms`` are times in milliseconds."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    zone: int = 0
-    peers: int = 1
-    rank: int = 0  # this node's number among them
-    subscribe: bool = False  # membership must be asked for
-    must_ask_ms: float = 10000.0
-    over_quota_value: float = 1.0
-    value_by_work: bool = False
-    cross_zone_price: float = 0.0
-    cold_share: float = 0.1
-    cold_ms: float = 0.0
-    cold_overload_ratio: float = 3.0  # sent more than this times its present capacity
-    cold_overload_ms: float = 3000.0  # over such a span, a cold server falls
-    max_attempts: int = 1
+    zone: int = 0  # of this node
+    peers: int = 1  # number of nodes, with this one
+    rank: int = 0  # this node's number among them, from 0
+    subscribe: bool = False  # the node has to call discovery; otherwise lists are pushed
+    must_ask_ms: float = 10000.0  # without a call or a watch for so long, a node counts as notified
+    over_quota_value: float = 1.0  # value of a request over its tenant's quota, as a factor
+    value_by_work: bool = False  # a class's value is per unit of work, not per request
+    cross_zone_price: float = 0.0  # of an attempt in another zone
+    cold_share: float = 0.1  # guaranteed capacity of a server at its start, as a share of its full capacity
+    cold_ms: float = 0.0  # after its start, until a server has its full capacity
+    # A cold server crashes under more than this multiple of its present capacity over this time.
+    cold_overload_ratio: float = 3.0
+    cold_overload_ms: float = 3000.0
+    max_attempts: int = 1  # for one request, the first included
     may_cancel: bool = False
     may_probe: bool = False
-    max_retry_after_ms: float = 0.0
+    max_retry_after_ms: float = 0.0  # 0: refusals carry no retry-after
     clients_mark_retries: bool = False
     reports_in_answers: bool = False
     reports_in_probes: bool = False
-    warm_keys: bool = False  # a server that met a request's key lately needs less work for it
-    # What only sockets need: names for what the simulator numbers, and limits of the network.
+    warm_keys: bool = False  # a server that recently processed a request's key needs less work for it
+    # Only for the HTTP proxy: names of what the simulator numbers, and network limits.
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
     dial_timeout_ms: float = 200.0
--- a/lupinlink/settings/parser.py
+++ b/lupinlink/settings/parser.py
@@ -1,4 +1,4 @@
-"""The one parser of the settings object: the wire's names, and the sockets' own where the two differ."""
+"""Parser of the settings, which have the same JSON format for the simulator and for a proxy."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from lupinlink.settings.model import DedupScope, Effect, RequestClass, Settings, SettingsError, Tenant
 
-EFFECT = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
-SCOPE = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 REPORT_FIELDS = {
     "rif": "in_flight",
     "q": "queued",
@@ -18,7 +18,7 @@
     "rate": "rate",
     "fail_rate": "error_rate",
 }
-SOCKET_FIELDS = {  # sockets use these names for the same figures, or those above, as the settings name them
+SOCKET_FIELDS = {  # in HTTP responses, besides the names above, the same figures may have these names
     **REPORT_FIELDS,
     "inflight": "in_flight",
     "queue": "queued",
@@ -30,21 +30,24 @@
 
 
 def get_or_default(table: Any, key: str, default: Any) -> Any:
-    """What a table says under a key; null is as good as absent."""
+    """Return ``table[key]``, or the default if the key is absent or null."""
     value = table.get(key)
     return default if value is None else value
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the start-up settings from JSON."""
+    """Parse the settings from JSON text; raises SettingsError."""
     try:
         return read_settings(json.loads(text))
     except ValueError as exc:
-        raise exc if isinstance(exc, SettingsError) else SettingsError(f"bad settings: {exc}") from exc
+        raise exc if isinstance(exc, SettingsError) else SettingsError(f"invalid settings: {exc}") from exc
 
 
 def read_settings(raw: Any) -> Settings:
-    """The settings object itself; unknown keys are skipped, absent ones take defaults."""
+    """Convert parsed JSON to Settings; raises SettingsError.
+
+    Unknown keys are ignored; absent ones take their defaults.
+    """
     try:
         limits, rules = get_or_default(raw, "Limits", {}), get_or_default(raw, "Invariants", {})
         report = get_or_default(raw, "Report", {})
@@ -56,16 +59,16 @@
                 deadline_ms=float(c["HardLimitMs"]),
                 value=float(get_or_default(c, "Importance", 1.0)),
                 late_value=min(1.0, max(0.0, float(get_or_default(c, "LateWorth", 0.0)))),
-                effect=EFFECT[get_or_default(c, "Effect", "side_effect")],
-                scope=SCOPE[get_or_default(c, "Group", "cell")],
+                effect=EFFECTS[get_or_default(c, "Effect", "side_effect")],
+                scope=DEDUP_SCOPES[get_or_default(c, "Group", "cell")],
                 dedup_ms=float(get_or_default(c, "MemorySpanMs", 0.0)),
                 name=str(get_or_default(c, "Name", "")),
             )
             for c in raw["Classes"]
         )
         if not classes:
-            raise SettingsError("settings name no class")
-        how = get_or_default(report, "How", "none")
+            raise SettingsError("settings: Classes must contain at least one class")
+        report_mode = get_or_default(report, "How", "none")
         return Settings(
             classes=classes,
             tenants=tuple(
@@ -95,8 +98,8 @@
             clients_mark_retries=bool(
                 get_or_default(get_or_default(raw, "ClientHabits", {}), "MarksRetry", False)
             ),
-            reports_in_answers=how == "answers",
-            reports_in_probes=how in ("answers", "probe"),
+            reports_in_answers=report_mode == "answers",
+            reports_in_probes=report_mode in ("answers", "probe"),
             warm_keys=bool(get_or_default(get_or_default(raw, "FamilyInfo", {}), "WarmKeys", False)),
             zones=tuple(map(str, get_or_default(raw, "Zones", []))),
             kinds=tuple(map(str, get_or_default(raw, "MachineTypes", []))),
@@ -105,4 +108,4 @@
             max_open_requests=int(get_or_default(limits, "MostHeld", 20000)),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
-        raise SettingsError(f"bad settings: {type(exc).__name__}: {exc}") from exc
+        raise SettingsError(f"invalid settings: {type(exc).__name__}: {exc}") from exc
--- a/lupinlink/spread/__init__.py
+++ b/lupinlink/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Even use of the servers by proxies that cannot talk to each other."""
+"""Spreads requests and keys evenly over the servers, without communication between the proxies."""
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from lupinlink.spread.aperture import MIN_PROXIES_PER_SERVER, Aperture
-from lupinlink.spread.key_affinity import BOUND, REMEMBERED, KeyPopularity
+from lupinlink.spread.key_affinity import MAX_COUNTED_ARRIVALS, MAX_KEY_SHARE, KeyPopularity
 from tests.stage import ROOT
 
 PROXIES, SERVERS, KEYS = 60, 200, 500  # of 200 proxies: enough to show it
@@ -41,9 +41,9 @@
 @given(st.integers(0, 2**32))
 def test_memory_is_bounded_whatever_comes(seed: int) -> None:
     homes, random = KeyPopularity(PROXIES), Random(seed)
-    for _ in range(4 * int(REMEMBERED)):
+    for _ in range(4 * int(MAX_COUNTED_ARRIVALS)):
         homes.record(random.getrandbits(32))
-    assert len(homes) <= 2 * REMEMBERED
+    assert len(homes) <= 2 * MAX_COUNTED_ARRIVALS
 
 
 def fleet(skew: float, seed: int, arrivals: int = 600) -> tuple[list[int], list[dict[str, set[int]]]]:
@@ -74,7 +74,7 @@
 def test_proxies_agree_on_a_hot_keys_homes() -> None:
     _, met = fleet(1.0, 2)
     share = 1.0 / sum(1.0 / (i + 1) for i in range(KEYS))
-    wanted = share * SERVERS / BOUND
+    wanted = share * SERVERS / MAX_KEY_SHARE
     together = set.union(*(seen["0"] for seen in met))
     assert 0.7 * wanted < len(together) < 1.6 * wanted
 
