--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -12,11 +12,11 @@
 
 from lupinlink.interface import Status
 from lupinlink.net import http1
-from lupinlink.net.application_servers.attempts import Attempt, Servers
-from lupinlink.net.application_servers.pool import Pool, Rested
-from lupinlink.net.bodies import SMALL_BYTES, Body
+from lupinlink.net.application_servers.attempts import Attempt, ServerPools
+from lupinlink.net.application_servers.pool import Pool, PooledConnection
+from lupinlink.net.bodies import SMALL_BODY_BYTES, Body
+from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.socket_peek import peek
-from lupinlink.net.terms import AttemptEnd
 from lupinlink.net.timer_wheel import Timer
 from lupinlink.net.twisted_types import READ_BYTES, Transport
 
@@ -25,14 +25,14 @@
 EARLY_READS = 4  # at most, of what a server announces (1xx) before it was asked
 
 
-class Opening(Protocol):
+class ConnectionOpener(Protocol):
     """What brought a connection up."""
 
-    def made(self, connection: Rested) -> None: ...
+    def made(self, connection: PooledConnection) -> None: ...
 
 
 @implementer(IPullProducer)
-class Sending(TcpProtocol):
+class SendingConnection(TcpProtocol):
     """One connection to an application server: one attempt at a time, idle in its pool between.
 
     As a pull producer it learns when the kernel has taken a request's last byte: a break before that
@@ -41,10 +41,10 @@
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, servers: Servers, pool: Pool, dial: Opening) -> None:
+    def __init__(self, servers: ServerPools, pool: Pool, dial: ConnectionOpener) -> None:
         self._servers, self.pool, self._dial = servers, pool, dial
         self._attempt: Attempt | None = None
-        self._parser = http1.AnswerParser(http1.MAX_MESSAGE)
+        self._parser = http1.ResponseParser(http1.MAX_MESSAGE)
         self._unsent: bytes | None = None
         self._body: Body | None = None  # of the request, while some of it is still to be sent
         self._sent = 0  # bytes of it that have gone out
@@ -75,16 +75,16 @@
         unsent, body = attempt.request()
         # Danger: what discovery has written counts as told though it lies unread. Nothing from here to the
         # write may take long: no look at the clock, no call to the decisions, no turn of the reactor.
-        news_cut_short = self._servers.read_waiting_news()
+        news_cut_short = self._servers.read_pending_updates()
         if news_cut_short or not (self.pool.current and attempt.is_open):
             self._leave_unbegun(attempt)
             return
         self._attempt, attempt.connection = attempt, self
         self._unsent, self._body = unsent, body
         self._written, self._sent, self._starved = False, 0, False
-        self._parser.asked_for_head = attempt.only_head
+        self._parser.for_head_request = attempt.only_head
         if self._body is not None:
-            self._body.more = self._more
+            self._body.on_data = self._more
         if not self._ends_unasked():
             self._write_now()
             self.pool.sent_at = self._servers.clock.now()
@@ -107,7 +107,7 @@
         """End an attempt of which no byte may go out any more; its connection rests again."""
         self._servers.counters["attempts_not_begun"] += 1
         self._rest(reuse=True, used=False)
-        attempt.end(AttemptEnd(Status.NOT_SENT))
+        attempt.end(AttemptResult(Status.NOT_SENT))
 
     def _write_now(self) -> None:
         """Hand the request to the kernel in this call; what it does not take now goes as it has room.
@@ -137,7 +137,7 @@
             self.transport.unregisterProducer()
 
     def _more(self) -> None:
-        if self._starved or (self._body is not None and self._body.broken):
+        if self._starved or (self._body is not None and self._body.truncated):
             self._starved = False
             self._pump()
 
@@ -145,15 +145,15 @@
         """Send on what is here of the request's body."""
         body = self._body
         assert body is not None
-        if body.broken:
+        if body.truncated:
             # Its end is never to be written, so it never runs.
-            self._finish(AttemptEnd(Status.NOT_SENT), reuse=False)
+            self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
             return
         data = body.read(self._sent, WRITE_BYTES)
         self._sent += len(data)
-        last = body.whole and self._sent == body.end
+        last = body.complete and self._sent == body.end
         if last:
-            self._body, body.more = None, None
+            self._body, body.on_data = None, None
         out = data
         if body.length is None:
             out = http1.chunk(data) + (http1.LAST_CHUNK if last else b"")
@@ -166,13 +166,13 @@
             self.resumeProducing()
         else:
             self._starved = True
-        body.sent(self._sent)
+        body.mark_sent(self._sent)
 
     def _stalled(self, attempt: Attempt | None) -> None:
         # Timers that come due together all run: by now it may carry another.
         if attempt is not None and self._attempt is attempt and not self._written:
             self._servers.counters["uploads_stalled"] += 1
-            self._finish(AttemptEnd(Status.NOT_SENT), reuse=False)
+            self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
 
     def stopProducing(self) -> None:
         pass  # connectionLost follows
@@ -198,7 +198,7 @@
 
         Danger: what is seen here may still not be given to a read. Nothing may be tried until it is.
         """
-        for _ in range(SMALL_BYTES // READ_BYTES + 1):
+        for _ in range(SMALL_BODY_BYTES // READ_BYTES + 1):
             if self._attempt is None or not peek(self.transport):
                 break
             self.transport.doRead()
@@ -208,7 +208,7 @@
             self._whole_by.drop()
             self._whole_by = None
 
-    def _finish(self, end: AttemptEnd, reuse: bool) -> None:
+    def _finish(self, end: AttemptResult, reuse: bool) -> None:
         self._settle()
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
@@ -235,4 +235,4 @@
         """What is still to be sent of a request never will be, from here."""
         body, self._body = self._body, None
         if body is not None:
-            body.more = None
+            body.on_data = None
--- /dev/null
+++ b/lupinlink/net/request_types.py
@@ -0,0 +1,114 @@
+"""Requests, replies and results that the client side, the proxy and the application server side exchange.
+
+Independent of the protocol that clients or application servers speak.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from typing import Protocol
+
+from twisted.internet.defer import Deferred
+
+from lupinlink.interface import Status
+from lupinlink.net.bodies import Body, ResponseStream
+
+
+class FailureReason(Enum):
+    """Why a request is answered as failed; the value is the text of the answer."""
+
+    NOT_SERVED = "not served"
+    TOO_LATE = "no answer in time"
+    INTERNAL = "internal error"
+    DUPLICATE = "a request of this id is open"
+
+
+class RefusalReason(Enum):
+    """Why a request is refused; the value is the counter's name after ``refused_``."""
+
+    TABLE_FULL = "table_full"
+    MODULE = "module"
+    NEVER_RAN = "never_ran"  # application servers refused it, and its body is no longer here for a retry
+    QUOTA = "quota"
+
+
+@dataclass(slots=True)
+class ClientRequest:
+    """A client's request."""
+
+    identity: str  # no two open requests may share it
+    class_index: int
+    tenant: int
+    expires_ms: float
+    is_retry: bool
+    method: str
+    target: str
+    headers: list[tuple[str, str]]
+    body: Body
+    key: str = ""  # of the item it asks for; empty if it names none
+    # How long it may have waited before this process could read it, which counts against its time. 0: it was
+    # read at once; inf: unknown, as it may have been sent before this process listened.
+    waited_ms: float = 0.0
+    address: str = ""  # of the TCP peer, which may be a load balancer in front of this proxy
+
+
+@dataclass(slots=True)
+class Reply:
+    """An application server's answer to a request that it served."""
+
+    headers: list[tuple[str, str]]
+    body: bytes  # the whole body, or the part received so far if ``flow`` is set
+    flow: ResponseStream | None = None
+    length: int | None = None  # of the body that a HEAD request did not ask for
+
+
+@dataclass(slots=True)
+class AttemptResult:
+    """How an attempt or a probe ended."""
+
+    status: Status
+    reply: Reply | None = None
+    report: dict[str, float] | None = None
+
+
+class Responder(Protocol):
+    """Sends a client the one final answer to its request."""
+
+    def served(self, reply: Reply) -> None: ...
+    def refused(self, retry_after_ms: float, over_quota: bool = False) -> None: ...
+    def failed(self, why: FailureReason) -> None: ...
+    def has_left(self) -> bool:
+        """Whether the client has closed its connection."""
+        ...
+
+
+class OpenAttempt(Protocol):
+    """An attempt in flight; ``ended`` fires once."""
+
+    ended: Deferred[AttemptResult]
+
+    def give_up(self, status: Status) -> None: ...
+    def set_deadline(self, at_ms: float) -> None: ...
+    def cancel_if_unsent(self) -> None: ...
+
+
+class ApplicationServerSide(Protocol):
+    """Sends attempts and probes to application servers."""
+
+    def start(
+        self,
+        server: str,
+        call: ClientRequest,
+        timeout_ms: float,
+        begin_by_ms: float,
+        wanted: Callable[[], bool],
+    ) -> OpenAttempt:
+        """Start an attempt.
+
+        ``begin_by_ms``: when it has to have arrived at the server; ``wanted``: called just before the request
+        is written, False cancels it.
+        """
+
+    def probe(self, server: str) -> Deferred[AttemptResult]: ...
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -19,8 +19,8 @@
 from lupinlink.net.twisted_types import Reactor
 from lupinlink.net.watch import Watch
 from tests.helpers import SAFE
+from tests.proxy_process import chunk
 from tests.recording_reactor import RecordingReactor
-from tests.stage import chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY_LINE = chunk("\n")
@@ -52,7 +52,7 @@
         self.discovery_client = DiscoveryClient(reactor, clock, ("127.0.0.1", 1), settings, servers, counters)
         self.node = Balancer(settings, Random(1))
         self.seen.timers.clear()  # the sweep of idle connections
-        self.discovery_client.tell = self.tell
+        self.discovery_client.on_event = self.tell
         self.discovery_client.start({})
 
     def tell(self, event: Event) -> None:
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -12,14 +12,14 @@
 
 from twisted.internet.task import Clock
 
-from lupinlink.net.bodies import WHOLE_BYTES
+from lupinlink.net.bodies import REPLAY_LIMIT_BYTES
+from lupinlink.net.client_drain import ClientDrain
 from lupinlink.net.clients import Clients, Listener
 from lupinlink.net.counters import Counters
-from lupinlink.net.leavers import Leavers
 from lupinlink.net.lifecycle import STOP_IDLE_MS, Lifecycle
 from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.settings import RequestClass, Settings
-from tests.stage import WAIT, ApplicationServer, Stage, row
+from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, row
 
 
 class Times(unittest.TestCase):
@@ -31,11 +31,11 @@
             (9e3, 3400.0, 3600.0),
         ):
             state = Lifecycle(longest)
-            self.assertEqual((state.last_ms, state.leave_ms), (last, leave))
+            self.assertEqual((state.answer_all_ms, state.exit_ms), (last, leave))
         for longest in (50.0, 150.0, 700.0, 2999.0, 3001.0):
             state = Lifecycle(longest)
             kill = min(longest, 3000.0) + 700.0
-            self.assertTrue(STOP_IDLE_MS <= state.last_ms < state.leave_ms < kill, longest)
+            self.assertTrue(STOP_IDLE_MS <= state.answer_all_ms < state.exit_ms < kill, longest)
 
     def test_with_a_successor_rests_end_before_the_kill_too(self) -> None:
         state = Lifecycle(1000.0)
@@ -45,7 +45,7 @@
         self.assertEqual(state.close_idle_from(), 10.0 + 1400.0)
 
 
-class Stopping(Stage):
+class Stopping(ProxyProcessTest):
     settings: ClassVar[dict[str, Any]] = {
         "Classes": [{"Name": "look", "AimMs": 300.0, "HardLimitMs": 1000.0, "Effect": "pure"}],
     }
@@ -53,7 +53,7 @@
     def test_a_body_that_never_ends_is_answered_before_the_kill_of_short_deadlines(self) -> None:
         server = self.peer(ApplicationServer(None))
         self.start(row("s-1", server))
-        size = 2 * WHOLE_BYTES
+        size = 2 * REPLAY_LIMIT_BYTES
         head = b"POST /look/1 HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: %d\r\n\r\n" % size
         upload = self.connect(head + b"x" * (size - 1))  # with the decisions; its time has not begun
         self.settle(bodies_flowing=1)
@@ -96,21 +96,21 @@
         self.listening.accept()[0].close()
 
     def test_who_waits_there_is_taken_before_the_process_ends(self) -> None:
-        self.lifecycle.stop(self.clock.now() - self.lifecycle.last_ms)  # long quiet, and time to leave
+        self.lifecycle.stop(self.clock.now() - self.lifecycle.answer_all_ms)  # long quiet, and time to leave
         left = list[bool]()
-        Leavers(cast(Any, self), lambda: left.append(True)).watch()
+        ClientDrain(cast(Any, self), lambda: left.append(True)).watch()
         self.assertEqual(left, [])
         self.empty()
-        Leavers(cast(Any, self), lambda: left.append(True)).watch()
+        ClientDrain(cast(Any, self), lambda: left.append(True)).watch()
         self.assertEqual(left, [True])
 
     def test_a_crowd_makes_held_ones_of_new_clients_only_until_the_queue_is_seen_empty(self) -> None:
-        self.clients.crowded = True  # the listener is left unread
+        self.clients.accept_paused = True  # the listener is left unread
         self.clients._sweep()
-        self.assertEqual(self.clients.queue.since, -math.inf)  # who waits may have waited from before
+        self.assertEqual(self.clients.accept_queue.since, -math.inf)  # who waits may have waited from before
         self.empty()
-        self.clients.crowded = True
+        self.clients.accept_paused = True
         before = self.clock.now()
         self.clients._sweep()
-        assert self.clients.queue.since is not None
-        self.assertGreaterEqual(self.clients.queue.since, before)
+        assert self.clients.accept_queue.since is not None
+        self.assertGreaterEqual(self.clients.accept_queue.since, before)
--- a/tests/test_told.py
+++ b/tests/test_discovery_watch.py
@@ -19,10 +19,10 @@
     Settings,
     Subscribe,
 )
-from lupinlink.net.lists import MAX_LIST, ListError, Objects
+from lupinlink.net.list_format import MAX_OBJECT_BYTES, ListError, ObjectSplitter
 from tests import test_reload
 from tests.helpers import SAFE, NodeHarness
-from tests.stage import WAIT, ApplicationServer, Stage, chunk, listing, row
+from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, chunk, listing, row
 
 TOLD_MS = 300.0  # a server has to be left alone so long after the news, the slack of sockets included
 CALL_MS = 2000.0  # a call that is answered takes so long at most
@@ -141,7 +141,7 @@
         for indent in (None, 1, 4):
             text = "".join(json.dumps(one, indent=indent) + "\n" for one in wanted).encode()
             for size in (1, 7, len(text)):
-                objects, found = Objects(), []
+                objects, found = ObjectSplitter(), []
                 for i in range(0, len(text), size):
                     found += objects.feed(text[i : i + size])
                 self.assertEqual(found, wanted, (indent, size))
@@ -157,12 +157,12 @@
             b"[1]\n",
         ):
             with self.assertRaises(ListError):
-                Objects().feed(broken)
+                ObjectSplitter().feed(broken)
         with self.assertRaises(ListError):
-            Objects().feed(b'{"a":\n' + b" " * MAX_LIST)
+            ObjectSplitter().feed(b'{"a":\n' + b" " * MAX_OBJECT_BYTES)
 
 
-class Silent(Stage):
+class Silent(ProxyProcessTest):
     def test_a_watch_that_falls_silent_is_logged_and_asked_anew_in_time(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", old))
@@ -178,7 +178,7 @@
         self.assertLess(time.monotonic() - began, 6.0)  # by then all that it missed counts as told
 
 
-class Pushed(Stage):
+class Pushed(ProxyProcessTest):
     """Lists are pushed: what discovery's agent has counts at once, whether or not a watch is open."""
 
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
--- a/tests/test_drain_crossings.py
+++ b/tests/test_drain_crossings.py
@@ -14,8 +14,8 @@
 from typing import Any, ClassVar
 
 from tests.discovery_replies import WHOLE_FORMS, Form
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, GRACE_S, SLACK_S, FleetStage, Member
-from tests.peers import OK, WAIT
+from tests.drain_fleet import ALL_TOLD_S, DRAINED, GRACE_S, SLACK_S, FleetProcessTest, Member
+from tests.loopback_servers import OK, WAIT
 
 BURST, PIPELINED = 100, 20  # connections with a request each; and requests on one connection
 HELD_S = GRACE_S + 2 * SLACK_S  # a process stands still for longer than the grace
@@ -24,7 +24,7 @@
 JUDGED_S = 1.0
 
 
-class Crossing(FleetStage):
+class Crossing(FleetProcessTest):
     """Connections of the test's own, besides the load."""
 
     def dial(self, member: Member, data: bytes = b"") -> socket.socket:
@@ -73,7 +73,7 @@
         for member, connection in many:
             connection.sendall(b"".join(member.head() for _ in range(PIPELINED)))
         written = time.monotonic() if news_first else self.shared.drain(*DRAINED)
-        self.assertTrue(all(DRAINED[0] in member.doors[0].written for member in members))
+        self.assertTrue(all(DRAINED[0] in member.frontends[0].written for member in members))
         self.pass_time(written + held_s)
         for member in members:
             member.process.send_signal(signal.SIGCONT)
@@ -159,7 +159,7 @@
         for rank in range(4):
             with socket.create_server(("127.0.0.1", 0)) as free:
                 port = free.getsockname()[1]
-            member = self.spawn(f"n{rank}", self.shared.door(), rank=rank, listen=f"127.0.0.1:{port}")
+            member = self.spawn(f"n{rank}", self.shared.frontend(), rank=rank, listen=f"127.0.0.1:{port}")
             member.port = port
             members.append(member)
         with ThreadPoolExecutor(len(members)) as pool:
@@ -198,7 +198,7 @@
         self.shared.fall_silent()
         began = time.monotonic()
         self.shared.drain(*DRAINED)
-        anew = self.spawn("anew", self.shared.door())
+        anew = self.spawn("anew", self.shared.frontend())
         self.await_serving(anew)
         anew.load()
         self.pass_time(began + ALL_TOLD_S)
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -25,7 +25,7 @@
 from lupinlink.lab.model.streams import Streams
 from lupinlink.lab.virtual import VirtualDrive
 from lupinlink.net.proxy import Proxy
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 
 def erlang_b(load: float, places: int) -> float:
@@ -286,7 +286,7 @@
 
     def _attempt_ended(self, end: Any, handle: int, *rest: Any) -> None:
         taken = self._requests.get(handle)
-        side = taken.side if taken is not None else None
+        side = taken.responder if taken is not None else None
         super()._attempt_ended(end, handle, *rest)
         if Sinner.sin == "twice" and side is not None and end.status is Status.OK and handle % 50 == 0:
             side.served(end.reply)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 
 from lupinlink.spread.aperture import MIN_PROXIES_PER_SERVER, Aperture
 from lupinlink.spread.key_affinity import MAX_COUNTED_ARRIVALS, MAX_KEY_SHARE, KeyPopularity
-from tests.stage import ROOT
+from tests.proxy_process import ROOT
 
 PROXIES, SERVERS, KEYS = 60, 200, 500  # of 200 proxies: enough to show it
 MOST = 8
--- a/tests/test_news_before_write.py
+++ b/tests/test_updates_before_write.py
@@ -12,22 +12,22 @@
 from typing import Any
 
 from lupinlink.interface import EndpointState, Status
-from lupinlink.net.bodies import SMALL_BYTES
+from lupinlink.net.bodies import SMALL_BODY_BYTES
 from lupinlink.net.counters import Counters
 from lupinlink.net.discovery_client import DiscoveryClient
-from lupinlink.net.lists import MAX_LIST
+from lupinlink.net.list_format import MAX_OBJECT_BYTES
+from lupinlink.net.request_types import AttemptResult
 from lupinlink.net.socket_peek import peek
-from lupinlink.net.terms import AttemptEnd
 from lupinlink.settings import Settings
 from tests.helpers import SAFE
-from tests.one_turn import OneTurn, news_that
-from tests.stage import WAIT, ApplicationServer, Discovery, Stage, chunk, listing, row
+from tests.manual_reactor import ManualReactorTest, news_that
+from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 CLIENTS = 60
 TOLD_S = 0.3  # so long after the news no first byte may go out, the slack of sockets included
 
 
-class HeededLast(OneTurn):
+class HeededLast(ManualReactorTest):
     """The news comes in the last look, behind all checks that were made before."""
 
     def changes(self) -> dict[str, Callable[[], None]]:
@@ -35,24 +35,24 @@
         return {
             "drained": self.drain,
             "gone": lambda: self.learn(EndpointState.GONE),
-            "left out of a whole list": lambda: self.servers.learn([], True),
+            "left out of a whole list": lambda: self.servers.update_list([], True),
             "at another address": lambda: self.learn(address=elsewhere),
             "another process": lambda: self.learn(started_ms=2.0),
         }
 
-    def checked(self, begin: Callable[[], list[AttemptEnd]], kept: bool) -> None:
+    def checked(self, begin: Callable[[], list[AttemptResult]], kept: bool) -> None:
         for name, change in self.changes().items():
             with self.subTest(name):
-                self.servers.learn([], True)
+                self.servers.update_list([], True)
                 self.loop.learn()
                 server = self.loop.kept()[0] if kept else None
                 before = self.servers.counters["attempts_not_begun"]
-                self.servers.read_waiting_news = news_that(change)
+                self.servers.read_pending_updates = news_that(change)
                 ends = begin()
                 self.until_ended(ends)
                 if server is None:
                     server, _ = self.loop.listener.accept()
-                self.servers.read_waiting_news = lambda: False
+                self.servers.read_pending_updates = lambda: False
                 self.turn()
                 self.assertEqual([end.status for end in ends], [Status.NOT_SENT])
                 self.assertEqual(self.servers.counters["attempts_not_begun"], before + 1)
@@ -62,8 +62,8 @@
                         self.end_of(server), b""
                     )  # its connection is closed, and brought nothing
 
-    def probe(self) -> list[AttemptEnd]:
-        ends: list[AttemptEnd] = []
+    def probe(self) -> list[AttemptResult]:
+        ends: list[AttemptResult] = []
         self.servers.probe("s-1").addCallback(ends.append)
         return ends
 
@@ -74,7 +74,7 @@
         self.checked(lambda: self.loop.attempt(b"body")[1], kept=False)
 
     def test_of_a_body_that_is_passed_on(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BYTES))[1], kept=True)
+        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BODY_BYTES))[1], kept=True)
 
     def test_of_a_probe(self) -> None:
         self.checked(self.probe, kept=True)
@@ -90,14 +90,14 @@
             return start(attempt)
 
         self.servers._send = send  # type: ignore[method-assign]
-        self.servers.read_waiting_news = news_that(lambda: attempts[0].give_up(Status.CANCELLED))
+        self.servers.read_pending_updates = news_that(lambda: attempts[0].give_up(Status.CANCELLED))
         _, ends = self.loop.attempt()
         self.turn()
         self.assertEqual([end.status for end in ends], [Status.CANCELLED])
         self.assertEqual((self.came(server), connection.pool.idle), (b"", [connection]))
 
 
-class WaitsUnread(OneTurn):
+class WaitsUnread(ManualReactorTest):
     """News lies in a watch's socket while the turn of the reactor starts an attempt."""
 
     def setUp(self) -> None:
@@ -110,7 +110,7 @@
             self.reactor, self.loop.clock, address, settings, self.servers, Counters()
         )
         self.addCleanup(self.discovery_client.stop)
-        self.servers.read_waiting_news = self.discovery_client.read_waiting_news
+        self.servers.read_pending_updates = self.discovery_client.read_pending_updates
         self.server, _ = self.loop.kept()
         self.discovery_client.call()
         self.loop.turn_until(self.discovery.watches.qsize)
@@ -156,7 +156,7 @@
     def test_behind_more_than_one_read_can_hold(self) -> None:
         self.live()
         pieces = [self.told(state="in_service", model="x" * 60_000)] * 4
-        self.watch.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_LIST)
+        self.watch.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_OBJECT_BYTES)
         self.wait_for(b"".join(pieces) + self.told())
         self.assert_unsent()
 
@@ -166,18 +166,18 @@
         assert live is not None
         self.watch.shutdown(socket.SHUT_RDWR)  # its end waits unread: the reactor's
         self.assertTrue(select.select([live.transport.getHandle()], [], [], WAIT)[0])
-        self.discovery_client.read_waiting_news()
+        self.discovery_client.read_pending_updates()
         self.loop.turn_until(lambda: self.discovery_client._live is None)
         self.assertFalse(live.read_waiting())
         self.assertEqual(peek(live.transport), b"")
         self.discovery_client.call()
-        self.discovery_client.read_waiting_news()
+        self.discovery_client.read_pending_updates()
         _, ends = self.loop.attempt()
         self.assertIn(b"X-Expires-In-Ms", self.came(self.server))
         self.assertEqual(ends, [])
 
 
-class ToldInOneSegment(Stage):
+class ToldInOneSegment(ProxyProcessTest):
     def test_a_held_request_is_not_sent_by_one_object_to_what_the_next_one_drains(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start()
@@ -193,7 +193,7 @@
         self.assertEqual((old.seen.qsize(), new.seen.qsize()), (0, 1))
 
 
-class StoodStill(Stage):
+class StoodStill(ProxyProcessTest):
     def test_what_was_told_while_the_process_stood_still_goes_before_requests_that_came_first(self) -> None:
         old, new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         self.start(row("s-1", old), row("s-2", new))
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -12,16 +12,16 @@
 
 from lupinlink.interface import Status
 from lupinlink.net.application_servers.dialling import Dial
-from lupinlink.net.application_servers.sending import Sending
-from lupinlink.net.bodies import SMALL_BYTES
-from lupinlink.net.terms import AttemptEnd
-from tests.one_turn import OneTurn, news_that
-from tests.stage import NEVER_RAN, OK, WAIT
+from lupinlink.net.application_servers.sending import SendingConnection
+from lupinlink.net.bodies import SMALL_BODY_BYTES
+from lupinlink.net.request_types import AttemptResult
+from tests.manual_reactor import ManualReactorTest, news_that
+from tests.proxy_process import NEVER_RAN, OK, WAIT
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
 
 
-class WrittenAtOnce(OneTurn):
+class WrittenAtOnce(ManualReactorTest):
     def test_a_request_on_a_kept_connection_is_out_before_the_turn_goes_on(self) -> None:
         server, _ = self.loop.kept()
         _, ends = self.loop.attempt(b"body")
@@ -51,7 +51,7 @@
 
     def test_of_a_long_body_only_the_head_goes_at_once_and_the_rest_follows(self) -> None:
         server, connection = self.loop.kept()
-        body = b"x" * (3 * SMALL_BYTES)
+        body = b"x" * (3 * SMALL_BODY_BYTES)
         _, ends = self.loop.attempt(body)
         head = self.came(server)
         self.assertTrue(head.endswith(b"\r\n\r\n"))  # nobody holds the attempt yet that a body may commit
@@ -67,7 +67,7 @@
         self.assertEqual(ends[0].status, Status.OK)
 
     def test_a_break_before_the_last_byte_proves_that_it_never_ran_and_after_it_not(self) -> None:
-        for size, status in ((0, Status.RESET), (3 * SMALL_BYTES, Status.UNREACHABLE)):
+        for size, status in ((0, Status.RESET), (3 * SMALL_BODY_BYTES, Status.UNREACHABLE)):
             server, _ = self.loop.kept()
             _, ends = self.loop.attempt(b"x" * size)
             server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -85,7 +85,7 @@
             self.loop.unread(connection)
 
         # Behind every look: only the write itself meets it.
-        with patch.object(Sending, "_ends_unasked", lambda sending: reset()):
+        with patch.object(SendingConnection, "_ends_unasked", lambda sending: reset()):
             _, ends = self.loop.attempt()
         self.assertEqual(ends, [])
         self.loop.turn_until(lambda: ends)
@@ -94,19 +94,19 @@
         self.loop.close_all()
 
 
-class EndedLast(OneTurn):
+class EndedLast(ManualReactorTest):
     """Its server ends, or says something, between the look at the kept connection and the write."""
 
-    def crossed(self, cross: Callable[[socket.socket], object]) -> tuple[socket.socket, list[AttemptEnd]]:
+    def crossed(self, cross: Callable[[socket.socket], object]) -> tuple[socket.socket, list[AttemptResult]]:
         server, connection = self.loop.kept()
 
         def between() -> None:
             cross(server)
             self.loop.unread(connection)
 
-        self.servers.read_waiting_news = news_that(between)
+        self.servers.read_pending_updates = news_that(between)
         _, ends = self.loop.attempt()
-        self.servers.read_waiting_news = lambda: False
+        self.servers.read_pending_updates = lambda: False
         self.until_ended(ends)
         self.turn()
         self.assertEqual(len(ends), 1)
