--- a/tests/discovery_calls.py
+++ b/tests/discovery_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the program to the simulated discovery: how each is answered, or is not."""
+"""Calls of the program to the simulated discovery, each answered or failed as the script says."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.memory_net import Link, VirtualClock
 from tests.simulated_backend_list import Entry, SimulatedBackendList
 
-BEAT_MS, PIECE_MS, DRIP_MS = 2000.0, 300.0, 1000.0
-TRANSIT_MS = 900.0  # from the write of an answer that is late or lost to its arrival, or to the reset
+HEARTBEAT_MS, PIECE_MS, DRIP_MS = 2000.0, 300.0, 1000.0
+TRANSIT_MS = 900.0  # from the write of a late or lost answer to its arrival or to the reset
 DRIPS = 30
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -21,43 +21,43 @@
 
 
 class Discovery(Protocol):
-    """What a call has to know of discovery."""
+    """What a call uses of the simulated discovery."""
 
     script: Script
     clock: VirtualClock
     backends: SimulatedBackendList
     quiet: bool
 
-    def wrote(self, process: Process, news: Entry) -> None: ...
-    def lost(self, process: Process, news: Entry, at: float) -> None: ...
-    def read(self, news: Entry) -> None: ...
+    def wrote(self, process: Process, update: Entry) -> None: ...
+    def lost(self, process: Process, update: Entry, at: float) -> None: ...
+    def read(self, update: Entry) -> None: ...
 
 
 @dataclass(frozen=True)
 class Written:
-    """An object on a connection."""
+    """An object written to a connection."""
 
     end: int  # the offset of its last byte
     at: float
-    news: Entry
+    update: Entry
 
 
 class Call:
-    """One connection of the program to discovery, from its dial on."""
+    """One connection of the program to discovery, from dialling on."""
 
     def __init__(self, discovery: Discovery, link: Link, where: int, fault: CallFault, of: Process) -> None:
         self.link, self.where, self.fault, self._of = link, where, fault, of
         self._discovery, self._clock = discovery, discovery.clock
-        self.watch: OpenWatch | None = None  # once it has told, as it should
-        self._asked = b""
-        self._free_at = 0.0  # when the last object will have been written
+        self.watch: OpenWatch | None = None  # once it delivers regularly
+        self._request = b""
+        self._free_at = 0.0  # when the last object is written in full
         self._unread: list[Written] = []
         link.received, link.on_read, link.on_close = self._received, self._was_read, self.closed
 
     def _received(self, data: bytes) -> None:
-        self._asked += data
-        if b"\r\n\r\n" in self._asked:
-            line, self._asked = self._asked.split(b"\r\n", 1)[0].decode(), b""
+        self._request += data
+        if b"\r\n\r\n" in self._request:
+            line, self._request = self._request.split(b"\r\n", 1)[0].decode(), b""
             fault, self.fault = self.fault, ANSWERED
             self._later(fault.delay, lambda: self._answer(line.split(" ")[1], fault.fault))
 
@@ -75,10 +75,10 @@
             self.reset()
         elif fault in (Fault.LOST, Fault.LATE):
             self._discovery.wrote(self._of, self._answer_to(target))
-            arrive = self.reset if fault is Fault.LOST else lambda: self._tell(target, Fault.OK)
+            arrive = self.reset if fault is Fault.LOST else lambda: self._respond(target, Fault.OK)
             self._later(TRANSIT_MS, arrive)
         elif fault is not Fault.MUTE:
-            self._tell(target, fault)
+            self._respond(target, fault)
 
     def _answer_to(self, target: str) -> Entry:
         backends = self._discovery.backends
@@ -86,7 +86,7 @@
             return backends.since(self.where, int(target.rsplit("from=", 1)[1]))
         return backends.whole(self.where)
 
-    def _tell(self, target: str, fault: Fault) -> None:
+    def _respond(self, target: str, fault: Fault) -> None:
         if "watch=1" in target:
             self.link.put(HEAD)
             self._begin_watch(int(target.rsplit("from=", 1)[1]), fault)
@@ -99,7 +99,7 @@
             self._drip(body[: DRIPS - len(body)] if len(body) > DRIPS else body[:-1])
         elif fault is not Fault.HEAD_ONLY:
             self.link.put(body)
-            self._told(self._discovery.backends.whole(self.where))
+            self._written(self._discovery.backends.whole(self.where))
 
     def _begin_watch(self, since: int, fault: Fault) -> None:
         if fault is Fault.ENDS:
@@ -108,17 +108,17 @@
         elif fault is Fault.DRIP:
             self._drip(b'{"rev": ' + b" " * DRIPS)
         elif fault is not Fault.HEAD_ONLY:
-            news = self._discovery.backends.since(self.where, since, fault is Fault.WHOLE)
+            update = self._discovery.backends.since(self.where, since, fault is Fault.WHOLE)
             if fault is Fault.BROKEN:
-                self.link.put(chunk(self._discovery.backends.text(news).decode()))
-                self._told(news)
+                self.link.put(chunk(self._discovery.backends.text(update).decode()))
+                self._written(update)
                 self.link.put(chunk("{broken}\n"))
                 return
             self.watch = OpenWatch(self._clock.now)
             self._of.watches.append(self.watch)
-            if news["targets"] or self._discovery.script.first_empty:
-                self.write(news)
-            self._beat_later()
+            if update["targets"] or self._discovery.script.first_empty:
+                self.write(update)
+            self._schedule_heartbeat()
 
     def _drip(self, text: bytes) -> None:
         self.link.put(chunk(text[:1].decode()))
@@ -127,60 +127,60 @@
 
     @property
     def live(self) -> bool:
-        """Whether it tells what changes."""
+        """Whether it delivers changes."""
         return self.watch is not None and self.link.open and self.watch.silent_at > self._clock.now
 
-    def write(self, news: Entry) -> None:
-        """One object; in two pieces where the script says so, one object after the other."""
-        text = self._discovery.backends.text(news)
+    def write(self, update: Entry) -> None:
+        """Write one object after the other, each in two pieces where the script says so."""
+        text = self._discovery.backends.text(update)
         if not self._discovery.script.pieces:
-            self._put_last(text, news)
+            self._put_last(text, update)
             return
         begin, cut = max(self._clock.now, self._free_at), len(text) // 2
         self._free_at = begin + PIECE_MS
         self._clock.at(begin, lambda: self._put(text[:cut]))
-        self._clock.at(self._free_at, lambda: self._put_last(text[cut:], news))
+        self._clock.at(self._free_at, lambda: self._put_last(text[cut:], update))
 
     def _put(self, text: bytes) -> None:
         if self.live:
             self.link.put(chunk(text.decode()))
 
-    def _put_last(self, text: bytes, news: Entry) -> None:
+    def _put_last(self, text: bytes, update: Entry) -> None:
         if self.live:
             self._put(text)
-            self._told(news)
+            self._written(update)
 
-    def _told(self, news: Entry) -> None:
-        self._discovery.wrote(self._of, news)
-        self._unread.append(Written(self.link.written, self._clock.now, news))
+    def _written(self, update: Entry) -> None:
+        self._discovery.wrote(self._of, update)
+        self._unread.append(Written(self.link.written, self._clock.now, update))
 
     def _was_read(self, total: int) -> None:
         while self._unread and self._unread[0].end <= total:
-            self._discovery.read(self._unread.pop(0).news)
+            self._discovery.read(self._unread.pop(0).update)
 
-    def _beat_later(self) -> None:
-        # All beat together, so that a script can say what comes just after an empty line.
-        self._clock.at((self._clock.now // BEAT_MS + 1.0) * BEAT_MS, self._beat)
+    def _schedule_heartbeat(self) -> None:
+        # All heartbeats come at the same time, so that a script can place events just after one.
+        self._clock.at((self._clock.now // HEARTBEAT_MS + 1.0) * HEARTBEAT_MS, self._heartbeat)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         if self.live:
             if self._clock.now > self._free_at and not self._discovery.quiet:
                 self._put(b"\n")
-            self._beat_later()
+            self._schedule_heartbeat()
 
     def reset(self) -> None:
-        """Reset it; what lies unread is gone with it."""
+        """Reset the connection; unread bytes are lost."""
         self.link.reset()
         unread, self._unread = self._unread, []
-        for one in unread:
-            self._discovery.lost(self._of, one.news, one.at)
+        for written in unread:
+            self._discovery.lost(self._of, written.update, written.at)
 
     def silence(self) -> None:
-        """It tells no more, and stays open."""
+        """Write nothing more, and stay open."""
         if self.watch is not None and self.link.open:
             self.watch.silent_at = min(self.watch.silent_at, self._clock.now)
 
     def closed(self) -> None:
-        """The program has closed it."""
+        """The program has closed the connection."""
         if self.watch is not None:
             self.watch.closed_at = min(self.watch.closed_at, self._clock.now)
--- a/tests/drain_script.py
+++ b/tests/drain_script.py
@@ -11,8 +11,8 @@
 
 from tests.drain_oracle import LATEST_MS, Outage
 
-AT_ONCE_MS = 300.0  # a call that fails within counts as failed at once
-ROW, ROW_AT_ONCE = 3, 2  # calls in a row that may fail, and at once: more are an outage
+AT_ONCE_MS = 300.0  # a call that fails within this time counts as failed at once
+MAX_FAILURES, MAX_FAILURES_AT_ONCE = 3, 2  # in a row; more are an outage by the rule
 
 
 class Departure(Enum):
@@ -24,12 +24,12 @@
 
 
 class OutageKind(Enum):
-    """How an outage shows."""
+    """How an outage appears to the proxy."""
 
     REFUSE = "refuse"  # dials are refused
     ERROR = "503"
     RESET = "reset"  # accepted, then reset
-    CUT = "cut"  # dials never come up, what is open is silent, and dead for good
+    CUT = "cut"  # connections are never established, and open ones stay silent for good
 
 
 class Fault(Enum):
@@ -40,14 +40,14 @@
     RESET = "reset"
     MUTE = "mute"  # accepted, never answered
     NO_DIAL = "no dial"
-    LATE_DIAL = "late dial"  # up after 1.5 s, then answered
+    LATE_DIAL = "late dial"  # connected after 1.5 s, then answered
     HEAD_ONLY = "head only"
-    DRIP = "drip"  # an object that gains a byte a second, and never ends
+    DRIP = "drip"  # an object that grows by a byte a second and never ends
     WHOLE = "whole"  # the whole list comes first
-    ENDS = "ends"  # ends in order right after the head
-    BROKEN = "broken"  # a good object, then broken bytes
-    LOST = "lost"  # answered, but not one byte comes; reset a while later
-    LATE = "late"  # answered, and the answer comes a while later
+    ENDS = "ends"  # a regular end right after the head
+    BROKEN = "broken"  # a valid object, then malformed bytes
+    LOST = "lost"  # answered, but no byte arrives; reset later
+    LATE = "late"  # answered, but the answer arrives later
 
 
 @dataclass(frozen=True)
@@ -85,12 +85,12 @@
 class Restart:
     at: float
     away: float = 1000.0
-    stale: bool = False  # it is given the list of the day's beginning, not the one that it had last
+    stale: bool = False  # starts with the list of the script's beginning, not with the last one
 
 
 @dataclass(frozen=True)
 class Pause:
-    """The process is held up in the read of its clock that comes ``reads`` after ``at``."""
+    """The process is paused as it reads its clock, after ``reads`` other reads since ``at``."""
 
     at: float
     ms: float
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class Script:
-    """All that is fixed before a drive begins."""
+    """All that is fixed before a drive starts."""
 
     changes: tuple[Change, ...] = ()
     outages: tuple[ScriptedOutage, ...] = ()
@@ -112,13 +112,13 @@
     rank: int = 0
     must_ask_ms: float = 10000.0
     pushed: bool = False
-    starts_in_outages: bool = False  # what a former life was told counts there as well
-    leaves_out: bool = False  # a whole list names no backend that drains
+    starts_in_outages: bool = False  # what the previous process was notified of counts in outages as well
+    leaves_out: bool = False  # a full list omits draining backends
     indented: bool = False
-    ends_instead: bool = False  # a change ends the watches instead of being told on them
+    ends_instead: bool = False  # a change ends the watches instead of being written to them
     pieces: bool = False  # an object comes in two pieces, 300 ms apart
     first_empty: bool = False  # a watch begins with an object though nothing has changed
-    more_backends: int = 0  # that stay, and get hardly a request
+    more_backends: int = 0  # backends that never leave and get hardly any request
     seed: int = 1
 
     @property
@@ -130,25 +130,25 @@
         return max(times, default=0.0)
 
     def __str__(self) -> str:
-        told = [
+        changed = [
             f"{f.name}={getattr(self, f.name)!r}" for f in fields(self) if getattr(self, f.name) != f.default
         ]
-        return f"Script({', '.join(told)})"
+        return f"Script({', '.join(changed)})"
 
 
 def keep_rule(faults: list[CallFault]) -> tuple[CallFault, ...]:
-    """More than two in a row that fail at once are an outage: those beyond are answered."""
+    """Replace faults beyond the rule by answers: more than two immediate failures in a row are an outage."""
     kept: list[CallFault] = []
-    for fault in faults[:ROW]:
-        at_once = [one.fails_at_once for one in kept[-ROW_AT_ONCE:]]
-        if fault.fails_at_once and len(at_once) == ROW_AT_ONCE and all(at_once):
+    for fault in faults[:MAX_FAILURES]:
+        at_once = [one.fails_at_once for one in kept[-MAX_FAILURES_AT_ONCE:]]
+        if fault.fails_at_once and len(at_once) == MAX_FAILURES_AT_ONCE and all(at_once):
             fault = CallFault(Fault.OK)
         kept.append(fault)
     return tuple(kept)
 
 
 def apart(outages: list[tuple[float, float, float, OutageKind, float]]) -> tuple[ScriptedOutage, ...]:
-    """One after the other: (gap since the last one's end, ..., length)."""
+    """Place outages one after the other, with at least ``gap`` between them."""
     at, found = 0.0, list[ScriptedOutage]()
     for begin, gap, length, kind, delay in outages:
         at = max(begin, at + gap) if found else begin
@@ -158,20 +158,20 @@
 
 
 def outages_meet(script: Script) -> bool:
-    """Whether an outage begins before what the last one has hidden counts as told: less than 6 s after it.
+    """Whether an outage begins before the changes of the last one count as notified: less than 6 s after it.
 
-    Read strictly, its own span frees nothing then: a process that could reach discovery in no call of the
-    short time between would have to hold its requests until it is back, however long that takes.
+    By the letter of the rule they count during the second outage then. A process that could make no call in
+    between would have to hold its requests until discovery is back, however long that takes.
     """
     return any(after.begin < before.end + LATEST_MS for before, after in pairwise(script.outages))
 
 
-BEGIN_MS = 5000.0  # most events fall in a window from here, so that they meet
+BEGIN_MS = 5000.0  # most events lie in a window from here, so that they overlap
 tenths = st.integers(0, 90).map(lambda n: BEGIN_MS + 100.0 * n)
 delays = st.sampled_from((0.0, 0.0, 100.0, 500.0, 1000.0, 1500.0, 2000.0))
-faults = st.lists(st.builds(CallFault, st.sampled_from(Fault), delays), min_size=1, max_size=ROW).map(
-    keep_rule
-)
+faults = st.lists(
+    st.builds(CallFault, st.sampled_from(Fault), delays), min_size=1, max_size=MAX_FAILURES
+).map(keep_rule)
 lengths = st.one_of(st.integers(20, 100), st.integers(20, 600)).map(lambda n: 100.0 * n)
 gaps = st.integers(5, 150).map(lambda n: 100.0 * n)
 outages = st.one_of(
@@ -188,7 +188,7 @@
 
 
 def with_aimed_pauses(script: Script, aimed: tuple[tuple[int, float], ...]) -> Script:
-    """Some pauses fall where they hurt: just before a request to a backend that counts as told is late."""
+    """Add pauses at the worst time: just before a request to a departed backend would be late."""
     if not script.changes:
         return script
     extra = []
--- a/tests/simulated_backend_list.py
+++ b/tests/simulated_backend_list.py
@@ -1,4 +1,4 @@
-"""The true list of backends that a simulated discovery has, with its versions."""
+"""The list of backends that a simulated discovery has, with its versions."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 
 from tests.drain_script import Change, Departure, Script
 
-NUMBERED_FROM = (41, 5041)  # each address of discovery has version numbers of its own
+NUMBERED_FROM = (41, 5041)  # each address of discovery has its own version numbers
 READY = "in_service"
-SPARE = 2  # backends that stay
+SPARE = 2  # backends that never leave
 Entry = dict[str, Any]
 
 
 def backend(number: int) -> Entry:
-    """A backend's entry."""
+    """Return the entry of a backend."""
     return {"uid": f"s-{number}", "endpoint": f"10.1.0.{number}:7070", "az": "a", "model": "m",
             "pod_group": number, "state": READY, "capacity_hint": 1.0, "boot_ms": 0}  # fmt: skip
 
 
-def hardly_asked(number: int) -> Entry:
-    """One of many backends that make the list long; so small that hardly a request goes there."""
+def rarely_used(number: int) -> Entry:
+    """Return an entry that makes the list long, of a backend so small that it gets hardly any request."""
     where = {"uid": f"many-{number}", "endpoint": f"10.2.{number // 250}.{number % 250 + 1}:7070"}
     return {**backend(0), **where, "capacity_hint": 1e-9}
 
 
 class SimulatedBackendList:
-    """The truth; backend number n goes with the n-th change."""
+    """The list; backend number n departs with the n-th change."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self._truth = {f"s-{i}": backend(i) for i in range(1, len(script.changes) + SPARE + 1)}
-        self._going = set(list(self._truth)[: len(script.changes)])
-        self._truth |= {row["uid"]: row for row in map(hardly_asked, range(script.more_backends))}
+        self._departing = set(list(self._truth)[: len(script.changes)])
+        self._truth |= {row["uid"]: row for row in map(rarely_used, range(script.more_backends))}
         self._changed = dict.fromkeys(self._truth, 0)  # the revision in which each last changed
-        self._left: dict[str, Entry] = {}  # entries that are off the list
+        self._left: dict[str, Entry] = {}  # entries of removed backends
         self.revision = 0
 
-    def text(self, news: Entry) -> bytes:
-        """One object as it goes on the wire."""
-        return (json.dumps(news, indent=2 if self._script.indented else None) + "\n").encode()
+    def text(self, update: Entry) -> bytes:
+        """Encode one object."""
+        return (json.dumps(update, indent=2 if self._script.indented else None) + "\n").encode()
 
     def whole(self, where: int) -> Entry:
-        """The whole list, with the version numbers of that address."""
+        """Return the full list, with the version numbers of that address."""
         rows = [e for e in self._truth.values() if e["state"] == READY or not self._script.leaves_out]
         return {"rev": NUMBERED_FROM[where] + self.revision, "all": True, "targets": rows}
 
     def since(self, where: int, version: int, whole: bool = False) -> Entry:
-        """What has changed since; the whole list where that version is not known."""
+        """Return what has changed since a version; the full list if that version is unknown."""
         revision = version - NUMBERED_FROM[where]
         if whole or not 0 <= revision <= self.revision:
             return self.whole(where)
@@ -56,11 +56,11 @@
         return {"rev": NUMBERED_FROM[where] + self.revision, "all": False, "targets": rows}
 
     def last(self, where: int) -> Entry:
-        """The last change."""
+        """Return the last change."""
         return self.since(where, NUMBERED_FROM[where] + self.revision - 1)
 
     def change(self, number: int, change: Change) -> str:
-        """Make it; the backend that goes."""
+        """Apply the change; return the name of the backend that departs."""
         name = f"s-{number}"
         self.revision += 1
         self._changed[name] = self.revision
@@ -73,17 +73,17 @@
             self._truth[fresh["uid"]], self._changed[fresh["uid"]] = fresh, self.revision
         return name
 
-    def departures(self, news: Entry) -> set[str]:
-        """The backends that this object tells to be going or gone."""
-        told = {entry["uid"] for entry in news["targets"] if entry["state"] != READY}
-        if news["all"]:
-            told |= self._going - {entry["uid"] for entry in news["targets"]}
-        return told
+    def departures(self, update: Entry) -> set[str]:
+        """Return the backends that are draining or gone according to this object."""
+        departed = {entry["uid"] for entry in update["targets"] if entry["state"] != READY}
+        if update["all"]:
+            departed |= self._departing - {entry["uid"] for entry in update["targets"]}
+        return departed
 
 
-def taken_in(known: Entry, news: Entry) -> Entry:
-    """The list as someone has it who had that one and is told this."""
-    rows = {} if news["all"] else {entry["uid"]: entry for entry in known["targets"]}
-    rows.update((entry["uid"], entry) for entry in news["targets"])
+def with_update(known: Entry, update: Entry) -> Entry:
+    """Return the known list with an update applied."""
+    rows = {} if update["all"] else {entry["uid"]: entry for entry in known["targets"]}
+    rows.update((entry["uid"], entry) for entry in update["targets"])
     kept = [entry for entry in rows.values() if entry["state"] != "terminated"]
-    return {"rev": news["rev"], "all": True, "targets": kept}
+    return {"rev": update["rev"], "all": True, "targets": kept}
--- a/tests/simulated_discovery.py
+++ b/tests/simulated_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery on a virtual clock: its list, watches on it, and the outages and faults that a script names."""
+"""Discovery on a virtual clock: its list, its watches, and the outages and faults of a script."""
 
 from __future__ import annotations
 
@@ -6,62 +6,60 @@
 from tests.drain_oracle import DrainOracle, Process
 from tests.drain_script import CallFault, Change, Fault, OutageKind, Script, ScriptedOutage
 from tests.memory_net import Link, VirtualClock
-from tests.simulated_backend_list import Entry, SimulatedBackendList, taken_in
+from tests.simulated_backend_list import Entry, SimulatedBackendList, with_update
 
 LATE_DIAL_MS = 1500.0
-TOLD_AFTER_END_MS = 300.0  # measured: news in place of a watch's end counts from here on, at the soonest
+NOTIFIED_AFTER_END_MS = 300.0  # earliest time after the end of a watch at which its change counts
 ADDRESSES = ("10.9.0.1", 7100), ("10.9.0.2", 7100)  # the second after SIGHUP
 
 
 class SimulatedDiscovery:
-    """All calls, and what they meet; ``known`` is the list as the process has read it."""
+    """All calls and their faults; ``known`` is the list as the process has read it."""
 
     def __init__(self, script: Script, clock: VirtualClock, oracle: DrainOracle) -> None:
         self.script, self.clock, self._oracle = script, clock, oracle
         self.backends = SimulatedBackendList(script)
         self.known = self._first = self.backends.whole(0)
-        self.process: Process  # whose calls come from now on
-        self.quiet = (
-            False  # pushed lists: the agent answers with what it has, learns nothing, and is silent then
-        )
+        self.process: Process  # the process that makes the calls from now on
+        self.quiet = False  # pushed lists: the agent answers with what it has, and gets no changes
         self.last_fault_at = 0.0
         self._calls: list[Call] = []
         self._runs, self._faults = list(script.runs), list[CallFault]()
-        self._unlearnt: list[tuple[int, Change]] = []
+        self._pending_changes: list[tuple[int, Change]] = []
         for number, change in enumerate(script.changes, 1):
             clock.at(change.at, lambda n=number, c=change: self._change(n, c))  # type: ignore[misc]
         for outage in script.outages:
             clock.at(outage.begin, lambda o=outage: self._begin(o))  # type: ignore[misc]
             if script.pushed:
-                clock.at(outage.end, self._learn)
+                clock.at(outage.end, self._resume_agent)
         for at in script.silences:
             clock.at(at, self._fall_silent)
 
     def forget(self) -> None:
-        """What the process had read is lost; it knows the first list."""
+        """Reset ``known`` to the first list."""
         self.known = self._first
 
     def known_goings(self) -> frozenset[str]:
-        """The goings that a process started now has in its list."""
+        """The departures in the list of a process that starts now."""
         return frozenset(self.backends.departures(self.known))
 
-    def wrote(self, process: Process, news: Entry) -> None:
-        """An object was written whole to that process."""
-        for name in self.backends.departures(news):
+    def wrote(self, process: Process, update: Entry) -> None:
+        """An object was written in full to that process."""
+        for name in self.backends.departures(update):
             self._oracle.wrote(process, name, self.clock.now)
 
-    def lost(self, process: Process, news: Entry, at: float) -> None:
-        """What was written then was discarded by a reset, unread."""
-        for name in self.backends.departures(news):
+    def lost(self, process: Process, update: Entry, at: float) -> None:
+        """What was written at that time was discarded by a reset, unread."""
+        for name in self.backends.departures(update):
             self._oracle.unread(process, name, at)
 
-    def read(self, news: Entry) -> None:
-        """The process has read it."""
-        self.known = taken_in(self.known, news)
+    def read(self, update: Entry) -> None:
+        """The process has read this object."""
+        self.known = with_update(self.known, update)
 
     def _change(self, number: int, change: Change) -> None:
         if self.quiet:
-            self._unlearnt.append((number, change))
+            self._pending_changes.append((number, change))
             return
         self._oracle.had(self.backends.change(number, change), self.clock.now)
         for call in self._calls:
@@ -71,40 +69,40 @@
                 call.write(self.backends.last(call.where))
 
     def _end_instead(self, call: Call, process: Process) -> None:
-        """End this watch; a call made at once would be told, unless discovery goes down."""
-        news = self.backends.last(call.where)
+        """End this watch; a call made at once would get the change, unless discovery goes down."""
+        update = self.backends.last(call.where)
         call.silence()
         call.link.end()
 
-        def would_have_told() -> None:
+        def would_have_written() -> None:
             if self._outage() is None:
-                self.wrote(process, news)
+                self.wrote(process, update)
 
-        self.clock.at(self.clock.now + TOLD_AFTER_END_MS, would_have_told)
+        self.clock.at(self.clock.now + NOTIFIED_AFTER_END_MS, would_have_written)
 
-    def _learn(self) -> None:
-        """The agent hears of changes again."""
+    def _resume_agent(self) -> None:
+        """The agent gets changes again, those of the outage first."""
         self.quiet = False
-        unlearnt, self._unlearnt = self._unlearnt, []
-        for number, change in unlearnt:
+        pending, self._pending_changes = self._pending_changes, []
+        for number, change in pending:
             self._change(number, change)
 
     def _fall_silent(self) -> None:
         for call in self._calls:
             call.silence()
 
-    # Calls, and what they meet.
+    # Calls and their faults.
 
     def dial(self, where: int) -> Link:
-        """A call of the process."""
+        """Accept or fail a call of the process."""
         link = Link()
         outage = self._outage()
         if self.script.pushed:
             self._accept(link, where, ANSWERED)
         elif outage is not None:
-            self._meet(outage, link, where)
+            self._fail(outage, link, where)
         else:
-            self._greet(link, where, self._next_fault())
+            self._connect(link, where, self._next_fault())
         return link
 
     def _outage(self) -> ScriptedOutage | None:
@@ -113,22 +111,22 @@
 
     def _next_fault(self) -> CallFault:
         if self._runs and not self._faults and self._runs[0].at <= self.clock.now:
-            self._faults = [*self._runs.pop(0).faults, ANSWERED]  # no row of faults runs into the next
+            self._faults = [*self._runs.pop(0).faults, ANSWERED]  # so that two runs of faults are not one
         fault = self._faults.pop(0) if self._faults else ANSWERED
         if fault is not ANSWERED:
             self.last_fault_at = self.clock.now
         return fault
 
-    def _greet(self, link: Link, where: int, fault: CallFault) -> None:
+    def _connect(self, link: Link, where: int, fault: CallFault) -> None:
         if fault.fault is Fault.LATE_DIAL:
-            self.clock.at(self.clock.now + LATE_DIAL_MS, lambda: self._greet_late(link, where))
+            self.clock.at(self.clock.now + LATE_DIAL_MS, lambda: self._connect_late(link, where))
         elif fault.fault is not Fault.NO_DIAL:
             self._accept(link, where, fault)
 
-    def _greet_late(self, link: Link, where: int) -> None:
+    def _connect_late(self, link: Link, where: int) -> None:
         outage = self._outage()
         if outage is not None:
-            self._meet(outage, link, where)
+            self._fail(outage, link, where)
         else:
             self._accept(link, where, ANSWERED)
 
@@ -137,7 +135,7 @@
             self._calls.append(Call(self, link, where, fault, self.process))
             link.up = True
 
-    def _meet(self, outage: ScriptedOutage, link: Link, where: int) -> None:
+    def _fail(self, outage: ScriptedOutage, link: Link, where: int) -> None:
         if outage.kind is OutageKind.REFUSE:
             link.refused = True
         elif outage.kind is OutageKind.ERROR:
