--- a/lupinlink/brain/admission.py
+++ b/lupinlink/brain/admission.py
@@ -28,9 +28,9 @@
 class Admission:
     """Mean admission probability: processor-sharing predictor plus RLS correction (paper, eqs. 4, 9-11)."""
 
-    def __init__(self, peers: int, late_worth: float, warm_keys: bool = False) -> None:
+    def __init__(self, peers: int, late_value: float, warm_keys: bool = False) -> None:
         self.peers, self.admit_probability, self.refusing = peers, 1.0, False
-        self.target = self.min_target = BASE_TARGET_DELAY + LATE_VALUE_TARGET_DELAY * late_worth
+        self.target = self.min_target = BASE_TARGET_DELAY + LATE_VALUE_TARGET_DELAY * late_value
         # E[X] in target latencies, and in seconds of one server's work (0: not known yet)
         self.service_time, self.service_demand_s = INITIAL_SERVICE_TIME, 0.0
         self.theta1, self.theta2 = INITIAL_THETA
--- a/lupinlink/brain/balancer.py
+++ b/lupinlink/brain/balancer.py
@@ -23,7 +23,7 @@
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
         self.maybe_probe()
         if now >= self.selector.weights_due_at:
-            self.apply_foresight(now)
+            self.apply_capacity_bound(now)
         bucket = self.shedding_order.count_arrival(request.arrival, self.rng)
         if self.admission.refusing and self.rng.random() >= self.shedding_order.admit_probability[bucket]:
             self.period.refused += 1
--- a/lupinlink/brain/discovery_answers.py
+++ b/lupinlink/brain/discovery_answers.py
@@ -22,7 +22,7 @@
 
     def __init__(self, hold_after_ms: float, max_hold_ms: float) -> None:
         """A list is trusted for ``hold_after_ms`` after a call, then not for ``max_hold_ms``."""
-        self._hold_after_ms, self._hold_most_ms = hold_after_ms, max_hold_ms
+        self._hold_after_ms, self._max_hold_ms = hold_after_ms, max_hold_ms
         self._since: dict[int, float] = {}
 
     def asked(self, call: int, now: float) -> None:
@@ -56,4 +56,4 @@
         return [self._expires(at) for at in self._since.values()]
 
     def _expires(self, at: float) -> float:
-        return at + self._hold_after_ms + self._hold_most_ms
+        return at + self._hold_after_ms + self._max_hold_ms
--- a/lupinlink/brain/discovery_node.py
+++ b/lupinlink/brain/discovery_node.py
@@ -38,7 +38,7 @@
         raise NotImplementedError
 
     def node_started(self, now: float) -> None:
-        """Start timers at random, as nodes started together must not revise admission in step."""
+        """Start timers at random: nodes started together must not revise admission or make calls in step."""
         self.period.start = now
         self.call_later(self.rng.uniform(0.2, 1.0) * self.period_ms, self.end_period)
         if self.settings.subscribe:
@@ -83,7 +83,7 @@
             case DiscoveryCallFailed():
                 self.discovery.call_failed(now, event)
             case DiscoveryWatchEnded(at_previous_address=True):
-                self.discovery.former_watch_ended(event.last_activity_at)
+                self.discovery.previous_watch_ended(event.last_activity_at)
             case DiscoveryWatchEnded():
                 self.discovery.watch_ended(now, event)
                 if self.settings.subscribe and event.may_have_update:
--- a/lupinlink/brain/discovery_outage.py
+++ b/lupinlink/brain/discovery_outage.py
@@ -19,7 +19,7 @@
     """How a call failed without a valid response head."""
 
     REFUSED = "its connection was refused"
-    TURNED_AWAY = "its connection came up, and it was ended at once"
+    ENDED_AT_ONCE = "its connection came up, and it was ended at once"
     BROKEN_AT_ONCE = "its connection came up, and broke at once without a word"
     ENDED_LATE = "it was taken, and turned down late"
     BROKEN_LATE = "it was taken, and its connection broke without a word"
@@ -27,7 +27,7 @@
     LATE = "its connection is late"
 
 
-AT_ONCE = frozenset({CallFailure.REFUSED, CallFailure.TURNED_AWAY, CallFailure.BROKEN_AT_ONCE})
+AT_ONCE = frozenset({CallFailure.REFUSED, CallFailure.ENDED_AT_ONCE, CallFailure.BROKEN_AT_ONCE})
 ACCEPTED = frozenset({CallFailure.ENDED_LATE, CallFailure.BROKEN_LATE, CallFailure.UNANSWERED})
 
 
--- a/lupinlink/brain/discovery_schedule.py
+++ b/lupinlink/brain/discovery_schedule.py
@@ -74,7 +74,7 @@
             self._next_at = now  # a local agent: calls need not be spread
 
     def moved(self, now: float) -> None:
-        """Discovery has a new address; what the former address sends confirms nothing."""
+        """Discovery has a new address; what the previous address sends confirms nothing."""
         self._reset()
         self.watching = False
         self._hold_from = min(self._hold_from, now + self.times.move_hold_after_ms)
@@ -103,10 +103,10 @@
             self._parallel_at = now + self.times.parallel_call_after_ms
         return True
 
-    def former_watch_ended(self, heard_at: float) -> None:
-        """The watch at the former address has ended before the new address has sent its list."""
+    def previous_watch_ended(self, last_activity_at: float) -> None:
+        """The watch at the previous address has ended before the new address has sent its list."""
         if not self.watching:
-            self._hold_from = min(self._hold_from, heard_at + self.times.hold_after_ms)
+            self._hold_from = min(self._hold_from, last_activity_at + self.times.hold_after_ms)
 
     def watch_ended(self, now: float, event: DiscoveryWatchEnded) -> None:
         """The watch has ended.
@@ -245,5 +245,5 @@
     if event.timed_out:
         return CallFailure.UNANSWERED
     if event.refused:
-        return CallFailure.TURNED_AWAY if event.took_ms < QUICK_FAILURE_MS else CallFailure.ENDED_LATE
+        return CallFailure.ENDED_AT_ONCE if event.took_ms < QUICK_FAILURE_MS else CallFailure.ENDED_LATE
     return CallFailure.BROKEN_AT_ONCE if event.took_ms < DRAIN_GRACE_MS else CallFailure.BROKEN_LATE
--- a/lupinlink/brain/dispatching.py
+++ b/lupinlink/brain/dispatching.py
@@ -90,19 +90,19 @@
 
     def scan(self, request: Request, now: float) -> Server | None:
         """Find a backend among those that were not drawn."""
-        row = bound_to_cell(request)
-        if row is not None:
-            near = [s for s in self.selector.subset.cell(row.zone, row.cell) if self.selector.may_use(s, now)]
+        at = bound_to_cell(request)
+        if at is not None:
+            near = [s for s in self.selector.subset.cell(at.zone, at.cell) if self.selector.may_use(s, now)]
             self.scanned += len(near)
             return self.draw_fitting(request, [s for s in near if self.has_room(s, now)], now)
-        any_free = False
+        any_room = False
         for servers in self.selector.fallback_candidates(now):
             self.scanned += len(servers)
             free = [s for s in servers if self.has_room(s, now) and self.slow_start.allows(s, now)]
-            any_free = any_free or bool(free)
+            any_room = any_room or bool(free)
             if (found := self.draw_fitting(request, free, now)) is not None:
                 return found
-        if not any_free:
+        if not any_room:
             self.no_room_until = now + SCAN_INTERVAL_MS
         return None
 
@@ -113,8 +113,8 @@
 
     def has_room(self, server: Server, now: float) -> bool:
         """Whether a server may take one more request of any kind."""
-        out = now < server.ejected_until or (server.on_probation and server.in_flight > 0)
-        return not out and self.limits.has_room(server, now)
+        excluded = now < server.ejected_until or (server.on_probation and server.in_flight > 0)
+        return not excluded and self.limits.has_room(server, now)
 
     def is_exhausted(self, request: Request, now: float) -> bool:
         """Whether a request may have no further attempt anywhere."""
@@ -244,7 +244,7 @@
         if not may_retry_anywhere(attempt, request.cls, now):
             return False
         used = {a.server.endpoint.name for a in request.attempts}  # by name: a restart changes nothing
-        row, subset = bound_to_cell(request), self.selector.subset
-        servers = subset.usable() if row is None else subset.cell(row.zone, row.cell)
+        at, subset = bound_to_cell(request), self.selector.subset
+        servers = subset.usable() if at is None else subset.cell(at.zone, at.cell)
         others = (s for s in servers if s.endpoint.name not in used)
         return any(may_retry_at(attempt, request.cls, s.endpoint, now) for s in others)
--- a/lupinlink/brain/load_monitoring.py
+++ b/lupinlink/brain/load_monitoring.py
@@ -96,7 +96,7 @@
         if self.outlier_detector.eject(server, now, max_ejected):
             self.server_usable_changed(server, now)
 
-    def apply_foresight(self, now: float) -> None:
+    def apply_capacity_bound(self, now: float) -> None:
         """If servers were lost, refuse what the others cannot serve at once: delays show it too late."""
         admission, share = self.admission, self.admission.capacity_bound.update(self.capacity(now))
         if share < admission.admit_probability:
--- a/lupinlink/brain/server_selection.py
+++ b/lupinlink/brain/server_selection.py
@@ -17,14 +17,14 @@
 LATENCY, REPORT = 0, 1  # sources of a load sample
 # A weight falls with this power of the known load, scaled down to how well known loads predicted latencies.
 LOAD_EXPONENT, TRUST_GAIN, MIN_TRUST = 1.8, 0.01, 0.1
-LOAD_DECAY_MS = 4000.0  # a load this old counts for 1/e of itself: without news the shares become even
+LOAD_DECAY_MS = 4000.0  # a load this old counts for 1/e of itself: without new samples the shares become even
 WEIGHTS_INTERVAL_MS, URGENT_WEIGHTS_DELAY_MS = 200.0, 20.0  # between updates; after an overdue attempt
 # A report covers the requests of all nodes, while a single latency is largely chance.
 REPORT_GAIN, LATENCY_GAIN, OVERDUE_GAIN = 0.6, 0.3, 0.5
 # Change of log size per second and unit of log load; bounds on the logarithms.
 SIZE_GAIN_PER_S, GROUP_SIZE_GAIN_PER_S, MAX_LOG_SIZE, MAX_LOG_LOAD = 0.04, 0.3, 1.5, 3.0
 BASELINE_GAIN, GROUP_GAIN = 0.02, 0.05  # of one sample for the baseline, and for its group's load
-IN_FLIGHT_EXPONENT, MAX_DRAWS = 4.0, 8  # power of the requests held for accepting a draw; draws per pick
+IN_FLIGHT_EXPONENT, MAX_DRAWS = 4.0, 8  # power of the headroom ratio that accepts a draw; draws per pick
 # Among thousands of servers hardly any is drawn again before its idle connection is closed. So servers first
 # used within this share of the idle timeout get as many requests as if there were only so many servers.
 REUSE_POOL_SIZE, REUSE_IDLE_SHARE = 128, 0.5
@@ -38,7 +38,7 @@
     def __init__(
         self, settings: Settings, slow_start: SlowStart, rng: Random, limits: ConcurrencyLimits
     ) -> None:
-        self.settings, self.slow_start, self.rng, self.draw = settings, slow_start, rng, rng.random()
+        self.settings, self.slow_start, self.rng, self.draw_point = settings, slow_start, rng, rng.random()
         self.limits = limits
         self.baselines: dict[tuple[int, int], float] = {}  # usual log sample, by source and zone
         self.weights_due_at, self.spill, self.cov, self.var, self.trust = -math.inf, 0.0, 0.05, 0.1, 0.5
@@ -52,7 +52,7 @@
     def observe(self, server: Server, sample: float, source: int, gain: float, now: float) -> None:
         """Take a load sample in any unit; only the logarithm of its ratio to the usual sample counts."""
         if not 0.0 < sample < math.inf:
-            return  # NaN and infinite reports must not distort the weights
+            return  # NaN and impossible samples must not distort the weights
         self._changed[server] = None
         # The network time to another zone is no load: a latency is compared with the usual one of its zone.
         baseline = (source, server.endpoint.zone if source == LATENCY else -1)
@@ -68,10 +68,8 @@
         if gain == OVERDUE_GAIN:  # an overdue attempt must not wait for the next update
             self.weights_due_at = min(self.weights_due_at, now + URGENT_WEIGHTS_DELAY_MS)
         if source == LATENCY:  # lasting differences in latency are differences in size
-            for item, rate in (
-                (server, SIZE_GAIN_PER_S),
-                (group, GROUP_SIZE_GAIN_PER_S),
-            ):  # in proportion to time, not to traffic
+            for item, rate in ((server, SIZE_GAIN_PER_S), (group, GROUP_SIZE_GAIN_PER_S)):
+                # In proportion to time, not to traffic.
                 step = rate * load * min((now - item.size_updated_at) / 1000.0, 2.0)
                 item.size = min(max(item.size - step, -MAX_LOG_SIZE), MAX_LOG_SIZE)
                 item.size_updated_at = now
@@ -87,7 +85,7 @@
         return server.endpoint.size_hint * math.exp(server.size + server.group.size)
 
     def weight(self, server: Server, now: float) -> float:
-        """Current weight; without news, a server's load decays to the usual one of its zone and kind."""
+        """Current weight; without samples a server's load decays to the usual one of its zone and kind."""
         usual = server.group.load
         log = -LOAD_EXPONENT * self.trust * (usual + (server.load - usual) * self.decay(server, now))
         if server.endpoint.zone != self.settings.zone:
@@ -115,12 +113,12 @@
         for server in self.candidates(key if self.settings.warm_keys else "", now):
             if fits(server):
                 # Requests it is known to hold are not yet in its weight: draw again in proportion to them.
-                share = self.limits.headroom_ratio(
+                ratio = self.limits.headroom_ratio(
                     server, self.size(server), node.in_flight, len(self.table), now
                 )
-                if last is None or share > last[0]:
-                    last = (share, server)
-                if self.rng.random() < share**IN_FLIGHT_EXPONENT:
+                if last is None or ratio > last[0]:
+                    last = (ratio, server)
+                if self.rng.random() < ratio**IN_FLIGHT_EXPONENT:
                     return server
         return last[1] if last is not None else None
 
@@ -147,7 +145,7 @@
 
     def candidates(self, key: str, now: float) -> Iterable[Server]:
         """Random servers by weight. With a key its hash decides: while weights hold, all nodes send it to the
-        same few servers, which have its data in their caches (spread/keys.py)."""
+        same few servers, which have its data in their caches (spread/key_affinity.py)."""
         if not self.table:
             return
         if key:
@@ -161,5 +159,5 @@
             if server is not None and server in self.table and server.in_flight == 0:
                 yield server
         for _ in range(MAX_DRAWS):
-            self.draw = (self.draw + GOLDEN_RATIO_STEP) % 1.0
-            yield self.table.draw(self.draw)
+            self.draw_point = (self.draw_point + GOLDEN_RATIO_STEP) % 1.0
+            yield self.table.draw(self.draw_point)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -50,8 +50,8 @@
         before = (self.server.reported_requests, self.server.group.cores, self.limits.service_time)
         for held, queued in ((math.nan, 1.0), (2.0, 3.0), (-1.0, -2.0), (math.inf, 1.0), (3.0, math.nan)):
             self.limits.report(self.server, load_report(held, queued), 1.0)
-        for aims in (math.nan, math.inf, -1.0, 0.0):
-            self.limits.record_answer(load_report(0.0, 0.0), aims)
+        for delay in (math.nan, math.inf, -1.0, 0.0):
+            self.limits.record_answer(load_report(0.0, 0.0), delay)
         self.assertEqual(
             (self.server.reported_requests, self.server.group.cores, self.limits.service_time), before
         )
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -82,7 +82,7 @@
                 self._failing.append(self.now + LATE_FAILURE_MS)
 
 
-def test_a_small_fleet_calls_again_before_its_list_is_not_trusted() -> None:
+def test_a_small_fleet_calls_again_before_its_list_loses_trust() -> None:
     harness = ScheduleHarness(peers=5)
     harness.schedule.started(0.0)
     harness.fail_until(7000.0)
--- a/tests/test_settings_variants.py
+++ b/tests/test_settings_variants.py
@@ -26,11 +26,8 @@
 from tests.settings_variants import SETTINGS_VARIANTS
 
 ANSWER_SLACK_MS = 20.0  # by which an answer may exceed the client's deadline
-RATE, END_MS, MAX_IDLE_MS = (
-    60.0,
-    9000.0,
-    2000.0,
-)  # arrivals per second; duration; longest time without a served request
+# Arrivals per second; duration; longest time without a served request.
+RATE, END_MS, MAX_IDLE_MS = 60.0, 9000.0, 2000.0
 CALL_MS = 500.0  # discovery answers a call after this time, without changes
 
 
@@ -44,7 +41,7 @@
     answers: int = 0
 
 
-class Simulation:
+class SimulatedNode:
     """One node and its servers: one hangs, one is unreachable, one fails at times, the others serve."""
 
     def __init__(self, settings: Settings, zones: int, case: unittest.TestCase) -> None:
@@ -66,12 +63,12 @@
             number += 1
             index = self.rng.randrange(len(self.settings.classes))
             cls = self.settings.classes[index]
-            patience = cls.deadline_ms * (1.0 if number % 20 else self.rng.random())
+            timeout_ms = cls.deadline_ms * (1.0 if number % 20 else self.rng.random())
             name = f"r{number}"
-            self.requests[name] = TrackedRequest(cls, now + patience)
+            self.requests[name] = TrackedRequest(cls, now + timeout_ms)
             tenant = self.rng.randrange(2) if self.settings.tenants else 0
             self.take(
-                self.harness.handle(api.Arrival(name, index, tenant, now + patience, key=f"k{number % 40}"))
+                self.harness.handle(api.Arrival(name, index, tenant, now + timeout_ms, key=f"k{number % 40}"))
             )
             self.case.assertLess(now - self.served_at, MAX_IDLE_MS + cls.deadline_ms, "nothing was served")
         self.until(now + max(c.deadline_ms for c in self.settings.classes) + 100.0)
@@ -173,23 +170,25 @@
         for name, settings in SETTINGS_VARIANTS.items():
             for zones in (1, 3):
                 with self.subTest(name, zones=zones):
-                    day = Simulation(settings, zones, self)
+                    day = SimulatedNode(settings, zones, self)
                     day.play()
                     served = day.outcomes["ok"] / sum(day.outcomes.values())
                     self.assertGreater(served, 0.8, day.outcomes)
 
     def test_short_deadlines_are_not_refused_on_an_initial_estimate(self) -> None:
         """The first latency estimate is a guess; if nothing were sent, it would never improve."""
-        for aim in (2000.0, 9000.0, 60000.0):
-            harness = NodeHarness(Settings(classes=(RequestClass(aim, 60000.0, effect=Effect.SAFE),)), "ab")
+        for target_ms in (2000.0, 9000.0, 60000.0):
+            harness = NodeHarness(
+                Settings(classes=(RequestClass(target_ms, 60000.0, effect=Effect.SAFE),)), "ab"
+            )
             for i in range(200):
                 (out,) = sends(harness.ask(f"r{i}", left=300.0))
                 harness.advance_to(harness.now + 20.0)
                 harness.end(f"r{i}", Status.OK, out.endpoint)
 
     def test_a_target_latency_beyond_the_deadline_is_the_deadline(self) -> None:
-        for aim, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
-            read = read_settings({"Classes": [{"AimMs": aim, "HardLimitMs": 2000.0}]})
+        for target_ms, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
+            read = read_settings({"Classes": [{"AimMs": target_ms, "HardLimitMs": 2000.0}]})
             self.assertEqual(read.classes[0].target_latency_ms, wanted)
 
 
