--- a/tests/test_cold_server_load.py
+++ b/tests/test_cold_server_load.py
@@ -19,13 +19,18 @@
 SETTINGS = list(product((2, 3, 30, 200), (0.13, 0.3), ((3.0, 3000.0), (2.0, 2000.0), (3.0, 2000.0))))
 
 
-def configured(peers: int, share: float, multiple: float, fall_ms: float) -> Settings:
+def configured(peers: int, share: float, overload_ratio: float, overload_ms: float) -> Settings:
     """Settings read by their outer names: one that is not read would keep its default unnoticed."""
     raw = {
         "Classes": [{"AimMs": 300.0, "HardLimitMs": 1000.0, "Effect": "pure"}],
         "PeersTotal": peers,
         "Limits": {"AttemptsCap": 5},
-        "Invariants": {"ColdShare": share, "ColdMs": WARMUP_MS, "FallMultiple": multiple, "FallMs": fall_ms},
+        "Invariants": {
+            "ColdShare": share,
+            "ColdMs": WARMUP_MS,
+            "FallMultiple": overload_ratio,
+            "FallMs": overload_ms,
+        },
     }
     return read_settings(raw)
 
@@ -39,7 +44,7 @@
         self.server = Server(
             Endpoint("a", started_ms=1.0), 1.0, Group(1.0), tokens=rng.random(), tokens_at=1.0
         )
-        self.turn = rng.uniform(0.0, 1000.0)  # ms to the end of its period
+        self.period_left_ms = rng.uniform(0.0, 1000.0)  # ms to the end of its period
 
     def send(self, now: float) -> bool:
         sent = self.slow_start.allows(self.server, now)
@@ -48,11 +53,11 @@
 
 
 class ColdServer:
-    """Counts arrivals within ``fall_ms``, serves them and reports its utilization, late."""
+    """Counts arrivals within ``overload_ms``, serves them and reports its utilization, late."""
 
-    def __init__(self, share: float, multiple: float, fall_ms: float) -> None:
-        self.share, self.multiple, self.fall_ms = share, multiple, fall_ms
-        self.arrivals, self.used, self.backlog = deque[float](), deque[float](maxlen=30), 0.0
+    def __init__(self, share: float, overload_ratio: float, overload_ms: float) -> None:
+        self.share, self.overload_ratio, self.overload_ms = share, overload_ratio, overload_ms
+        self.arrivals, self.utilizations, self.backlog = deque[float](), deque[float](maxlen=30), 0.0
         self.reports: list[tuple[float, int]] = []
         self.worst_ratio = 0.0
 
@@ -65,27 +70,30 @@
         self.backlog += 1.0
         insort(self.reports, (now + 300.0 + self.backlog / self.capacity(now) / 2.0, source))
 
-    def step(self, now: float, span: float) -> Iterator[tuple[int, float]]:
+    def step(self, now: float, warmup_ms: float) -> Iterator[tuple[int, float]]:
         """Yield the processes whose answers come now, with the utilization that they report."""
-        done = min(self.backlog, self.capacity(now) * span)
+        done = min(self.backlog, self.capacity(now) * warmup_ms)
         self.backlog -= done
-        self.used.append(done / (self.capacity(now) * span))
+        self.utilizations.append(done / (self.capacity(now) * warmup_ms))
         while self.reports and self.reports[0][0] <= now:
-            yield self.reports.pop(0)[1], sum(self.used) / len(self.used)
+            yield self.reports.pop(0)[1], sum(self.utilizations) / len(self.utilizations)
 
     def check(self, now: float) -> None:
-        """Arrivals over those it can bear: at 1 it fails (N + 2 sqrt(N) + 2)."""
-        while self.arrivals and self.arrivals[0] <= now - self.fall_ms:
+        """Update the worst ratio of arrivals to those it can bear, N + 2 sqrt(N) + 2: at 1 it fails."""
+        while self.arrivals and self.arrivals[0] <= now - self.overload_ms:
             self.arrivals.popleft()
-        n = self.multiple * self.capacity(now) * self.fall_ms
+        n = self.overload_ratio * self.capacity(now) * self.overload_ms
         self.worst_ratio = max(self.worst_ratio, len(self.arrivals) / (n + 2.0 * math.sqrt(n) + 2.0))
 
 
 class FleetLoad(unittest.TestCase):
     def test_all_saved_tokens_may_be_spent_at_once(self) -> None:
         """No process uses the cold server until the others are lost; then each sends all it may."""
-        for (peers, share, (multiple, fall_ms)), idle in product(SETTINGS, (0, 2000, 6000)):
-            settings, cold = configured(peers, share, multiple, fall_ms), ColdServer(share, multiple, fall_ms)
+        for (peers, share, (overload_ratio, overload_ms)), idle in product(SETTINGS, (0, 2000, 6000)):
+            settings, cold = (
+                configured(peers, share, overload_ratio, overload_ms),
+                ColdServer(share, overload_ratio, overload_ms),
+            )
             rng = Random(peers)
             processes = [Process(settings, rng, load=0.8) for _ in range(peers)]
             for now in range(1 + idle, int(WARMUP_MS), 20):
@@ -93,33 +101,34 @@
                     if process.send(float(now)):
                         cold.arrivals.append(float(now))
                 cold.check(float(now))
-            self.assertLess(cold.worst_ratio, 1.0, (peers, share, multiple, fall_ms, idle))
+            self.assertLess(cold.worst_ratio, 1.0, (peers, share, overload_ratio, overload_ms, idle))
 
     def test_a_burst_after_reports_of_low_utilization(self) -> None:
         """Under light load the reports are low, and each process alone would take it for warm in a burst."""
-        for peers, share, (multiple, fall_ms) in SETTINGS:
+        for peers, share, (overload_ratio, overload_ms) in SETTINGS:
             for before, after, at, times in ((0.5, 1.0, 6000, 100.0), (0.05, 1.2, 6000, 20.0)):
-                settings = configured(peers, share, multiple, fall_ms)
-                cold, rng = ColdServer(share, multiple, fall_ms), Random(peers)
+                settings = configured(peers, share, overload_ratio, overload_ms)
+                cold, rng = ColdServer(share, overload_ratio, overload_ms), Random(peers)
                 processes = [Process(settings, rng, before) for _ in range(peers)]
                 for now in range(1, 14000, 20):
-                    load, wanted = (
-                        (before, 1.0) if now < at else (after, times)
-                    )  # the other servers fail, and it gets their load
+                    # At ``at`` the other servers fail, and it gets their load.
+                    load, demand = (before, 1.0) if now < at else (after, times)
                     even = load * CAPACITY / peers / 1000.0
-                    for i, busy in cold.step(float(now), 20.0):
-                        processes[i].slow_start.report(processes[i].server, busy)
+                    for i, utilization in cold.step(float(now), 20.0):
+                        processes[i].slow_start.report(processes[i].server, utilization)
                     for i, process in enumerate(processes):
-                        process.turn -= 20.0
-                        if process.turn <= 0.0:
-                            process.turn = 1000.0 * rng.uniform(0.75, 1.25)
+                        process.period_left_ms -= 20.0
+                        if process.period_left_ms <= 0.0:
+                            process.period_left_ms = 1000.0 * rng.uniform(0.75, 1.25)
                             process.slow_start.even_rate_per_ms += 0.5 * (
                                 even - process.slow_start.even_rate_per_ms
                             )
-                        if rng.random() < even * 20.0 * wanted and process.send(float(now)):
+                        if rng.random() < even * 20.0 * demand and process.send(float(now)):
                             cold.receive(float(now), i)
                     cold.check(float(now))
-                self.assertLess(cold.worst_ratio, 1.0, (peers, share, multiple, fall_ms, before, after))
+                self.assertLess(
+                    cold.worst_ratio, 1.0, (peers, share, overload_ratio, overload_ms, before, after)
+                )
 
     def test_reports_of_low_utilization_allow_no_process_more_than_twice_its_even_share(self) -> None:
         settings = configured(200, 0.13, 3.0, 3000.0)
--- a/tests/test_settings_variants.py
+++ b/tests/test_settings_variants.py
@@ -59,7 +59,7 @@
         now, number = 0.0, 0
         while now < END_MS:
             now += self.rng.expovariate(RATE) * 1000.0
-            self.until(now)
+            self.play_until(now)
             number += 1
             index = self.rng.randrange(len(self.settings.classes))
             cls = self.settings.classes[index]
@@ -71,10 +71,10 @@
                 self.harness.handle(api.Arrival(name, index, tenant, now + timeout_ms, key=f"k{number % 40}"))
             )
             self.case.assertLess(now - self.served_at, MAX_IDLE_MS + cls.deadline_ms, "nothing was served")
-        self.until(now + max(c.deadline_ms for c in self.settings.classes) + 100.0)
+        self.play_until(now + max(c.deadline_ms for c in self.settings.classes) + 100.0)
         self.case.assertEqual([n for n, tracked in self.requests.items() if tracked.answers != 1], [])
 
-    def until(self, time: float) -> None:
+    def play_until(self, time: float) -> None:
         """Play outcomes, timers and answers of discovery in the order of their times."""
         while True:
             timer = min(self.harness.timers)[0] if self.harness.timers else time + 1.0
@@ -149,17 +149,17 @@
             self.case.assertTrue(tracked.cls.scope == DedupScope.ALL or row.zone == before.zone)
             self.case.assertTrue(tracked.cls.scope != DedupScope.CELL or row.cell == before.cell)
         tracked.sent.append((action.endpoint, now, None))
-        took, status = tracked.cls.deadline_ms * 0.1 * self.rng.uniform(0.5, 2.0), Status.OK
+        latency_ms, status = tracked.cls.deadline_ms * 0.1 * self.rng.uniform(0.5, 2.0), Status.OK
         if action.endpoint == "a":
-            took, status = 1e9, Status.TIMEOUT  # hangs
+            latency_ms, status = 1e9, Status.TIMEOUT  # hangs
         elif action.endpoint == "b":
-            took, status = self.settings.dial_timeout_ms, Status.UNREACHABLE
+            latency_ms, status = self.settings.dial_timeout_ms, Status.UNREACHABLE
         elif action.endpoint == "c" and self.rng.random() < 0.3:
             status = self.rng.choice([Status.ERROR, Status.RESET, Status.OVERLOADED])
         left = min(action.timeout_ms or 1e9, tracked.deadline - now)
-        if took >= left:
-            took, status = left, Status.TIMEOUT
-        self.push(now + took, action.request_id, len(tracked.sent) - 1, status)
+        if latency_ms >= left:
+            latency_ms, status = left, Status.TIMEOUT
+        self.push(now + latency_ms, action.request_id, len(tracked.sent) - 1, status)
 
     def push(self, at: float, name: str, attempt: int, status: Status) -> None:
         heapq.heappush(self.due, (at, next(self.numbers), name, attempt, status))
@@ -170,10 +170,10 @@
         for name, settings in SETTINGS_VARIANTS.items():
             for zones in (1, 3):
                 with self.subTest(name, zones=zones):
-                    day = SimulatedNode(settings, zones, self)
-                    day.play()
-                    served = day.outcomes["ok"] / sum(day.outcomes.values())
-                    self.assertGreater(served, 0.8, day.outcomes)
+                    node = SimulatedNode(settings, zones, self)
+                    node.play()
+                    served = node.outcomes["ok"] / sum(node.outcomes.values())
+                    self.assertGreater(served, 0.8, node.outcomes)
 
     def test_short_deadlines_are_not_refused_on_an_initial_estimate(self) -> None:
         """The first latency estimate is a guess; if nothing were sent, it would never improve."""
@@ -187,9 +187,9 @@
                 harness.end(f"r{i}", Status.OK, out.endpoint)
 
     def test_a_target_latency_beyond_the_deadline_is_the_deadline(self) -> None:
-        for target_ms, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
+        for target_ms, expected in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
             read = read_settings({"Classes": [{"AimMs": target_ms, "HardLimitMs": 2000.0}]})
-            self.assertEqual(read.classes[0].target_latency_ms, wanted)
+            self.assertEqual(read.classes[0].target_latency_ms, expected)
 
 
 class TargetBeyondDeadline(ProxyProcessTest):
