--- a/lupinlink/net/application_servers/attempts.py
+++ b/lupinlink/net/application_servers/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt, from its start to its one end."""
+"""One attempt to send a request to an application server, from its start to its result."""
 
 from __future__ import annotations
 
@@ -18,65 +18,60 @@
 
 
 class ServerPools(Protocol):
-    """All application servers' connections, as one attempt or connection sees them."""
+    """What an attempt or a connection needs of the pools of all application servers."""
 
     clock: ReactorClock
     settings: Settings
     counters: Counters
-    connections: Slots[object]  # that are up, or on their way
-    list_is_held: Callable[[], bool]  # whether no request may be written just now
+    connections: Slots[object]  # established, or being established
+    list_is_held: Callable[[], bool]  # whether no request may be written at present
     read_waiting_news: Callable[[], bool]  # reads discovery's news; whether some of it has not come whole
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt travels on."""
+    """The connection that carries an attempt."""
 
     def drop(self) -> None: ...
-    def catch_up(self) -> None: ...
+    def read_pending(self) -> None: ...
 
 
 class PendingConnection(Protocol):
-    """A connection on its way up for an attempt."""
+    """A connection that is being established for an attempt."""
 
     def abandon(self) -> None: ...
 
 
 class Attempt:
-    """One attempt: ``ended`` fires once, after its connection was given back or closed."""
+    """One attempt: ``ended`` fires once, after its connection was returned to the pool or closed."""
 
     def __init__(
         self,
         servers: ServerPools,
         server: str,
-        encode_request: Callable[[float], tuple[bytes, Body | None]],
+        encode: Callable[[float], tuple[bytes, Body | None]],
         until_ms: float,
         begin_by_ms: float = math.inf,
         wanted: Callable[[], bool] = lambda: True,
         only_head: bool = False,
     ) -> None:
-        """``compose``: the request, for the time left by then; ``wanted``: whether anyone waits for it."""
+        """``encode``: called with the ms left at sending; ``wanted``: whether anyone waits for it."""
         self.ended: Deferred[AttemptResult] = Deferred()
         self.server, self.only_head = server, only_head
-        self._compose, self._until, self._begin_by, self._wanted = (
-            encode_request,
-            until_ms,
-            begin_by_ms,
-            wanted,
-        )
+        self._encode, self._until, self._begin_by, self._wanted = encode, until_ms, begin_by_ms, wanted
         self.connection: AttemptConnection | None = None
         self.dial: PendingConnection | None = None
         self._servers = servers
         self._open = True
         self._deadline = servers.clock.at(until_ms, lambda: self.give_up(Status.TIMEOUT))
 
-    def may_begin(self, trip_ms: float) -> bool:
-        """Whether it may still be written, looked at anew: is it wanted, does its server still drop a repeat?
+    def may_begin(self, round_trip_ms: float) -> bool:
+        """Whether it may still be sent: wanted, and early enough for its server to drop a duplicate.
 
-        ``trip_ms``: to the server and back. Its last byte has to arrive there before then.
+        ``round_trip_ms``: to the server. The last byte of the request has to arrive there in time.
         """
         now = self._servers.clock.now()
-        late = now >= self._until or now + trip_ms >= self._begin_by
-        return self._open and not late and self._wanted() and self._open  # who is asked may end it
+        late = now >= self._until or now + round_trip_ms >= self._begin_by
+        return self._open and not late and self._wanted() and self._open  # _wanted() may end the attempt
 
     @property
     def is_open(self) -> bool:
@@ -84,30 +79,30 @@
         return self._open
 
     def request(self) -> tuple[bytes, Body | None]:
-        """What is to be written now."""
-        return self._compose(self._until - self._servers.clock.now())
+        """The bytes to write now, and the body that follows them, if any."""
+        return self._encode(self._until - self._servers.clock.now())
 
     def set_deadline(self, at_ms: float) -> None:
-        """Another time to stop waiting at."""
+        """Change the time of its time-out."""
         if self._open:
             self._until = at_ms
             self._servers.clock.drop(self._deadline)
             self._deadline = self._servers.clock.at(at_ms, lambda: self.give_up(Status.TIMEOUT))
 
     def end(self, end: AttemptResult) -> None:
-        """The outcome; later ones find nothing to end."""
+        """Report the result; without effect if it has ended already."""
         if self._open:
             self._open = False
             self._servers.clock.drop(self._deadline)
             self.ended.callback(end)
 
     def give_up(self, status: Status) -> None:
-        """Stop waiting; the connection is closed before anything else can go out.
+        """End it with this status; its connection is closed before anything else can be sent on it.
 
-        An answer that has come goes first: after a pause of this process its timers run before its reads.
+        An answer that has arrived takes precedence: after a pause of this process, timers run before reads.
         """
         if self._open and self.connection is not None:
-            self.connection.catch_up()
+            self.connection.read_pending()
         if not self._open:
             return
         dial, connection = self.dial, self.connection
@@ -119,6 +114,6 @@
         self.end(AttemptResult(status))
 
     def cancel_if_unsent(self) -> None:
-        """End it if its connection is still on its way up: nothing of it was written, nor will be."""
+        """End it if its connection is still being established, so that nothing of it is ever written."""
         if self.dial is not None:
             self.give_up(Status.NOT_SENT)
--- a/lupinlink/net/application_servers/connection.py
+++ b/lupinlink/net/application_servers/connection.py
@@ -1,4 +1,4 @@
-"""Answers of an application server as they come: whole, or passed on; and how a connection's end is read."""
+"""Receives the answers of an application server: whole, or streamed to the client."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lupinlink.interface import Status
 from lupinlink.net import http1
 from lupinlink.net.application_servers.attempts import Attempt, ServerPools
-from lupinlink.net.application_servers.outcomes import kept, outcome, read_report
+from lupinlink.net.application_servers.outcomes import forwarded_headers, outcome, read_report
 from lupinlink.net.application_servers.pool import Pool
 from lupinlink.net.application_servers.sending import ConnectionOpener, SendingConnection
 from lupinlink.net.bodies import SMALL_BODY_BYTES, ResponseStream
@@ -19,28 +19,28 @@
 from lupinlink.net.twisted_types import READ_BYTES
 
 log = logging.getLogger("lupinlink.net.application_servers")
-WHOLE_MS = 300.0  # once an answer has begun, so long may nothing more of it come
-# An answer that says it is longer than a small one is passed on once so much is here: a wrong length on a
-# small one shows before, and can still be made up for elsewhere. One that does not say is likely to be long
-# once it is longer than most.
-FIRST_BYTES, UNTOLD_BYTES = 2 * 1024, 16 * 1024
-FLOW_STILL_MS = 15000.0  # so long may an answer that is being passed on bring nothing more
-FLOW_LOOK_MS = 1000.0
-FLOW_READ_BYTES = 64 * 1024
+ANSWER_STALL_MS = 300.0  # time-out for more data of an answer that has begun
+# An answer is streamed once this much of it is here. If its declared length exceeds a small body, the lower
+# limit holds; small ones are never streamed, so that a wrong length is noticed while a retry is still
+# possible. If no length is declared, an answer longer than most is likely to be a long one.
+MIN_STREAMED_BYTES, MIN_STREAMED_UNDECLARED_BYTES = 2 * 1024, 16 * 1024
+STREAM_STALL_MS = 15000.0  # time-out for more data of an answer that is being streamed
+STREAM_CHECK_MS = 1000.0
+STREAM_READ_BYTES = 64 * 1024
 
 
 class Connection(SendingConnection):
-    """Both directions of it."""
+    """A connection to an application server, in both directions."""
 
     def __init__(self, servers: ServerPools, pool: Pool, dial: ConnectionOpener) -> None:
         super().__init__(servers, pool, dial)
-        self._flow: ResponseStream | None = None  # the answer that is being passed on as it comes
-        self._heard_at = 0.0
+        self._stream: ResponseStream | None = None  # the answer that is being streamed
+        self._last_data_at = 0.0
 
     def dataReceived(self, data: bytes) -> None:
-        if self._attempt is None and self._flow is None:
+        if self._attempt is None and self._stream is None:
             self.pool.forget(self)
-            self.transport.abortConnection()  # nothing was asked
+            self.transport.abortConnection()  # unsolicited data
             return
         self._parser.feed(data)
         try:
@@ -50,15 +50,15 @@
         except http1.MessageError as exc:
             self._servers.counters["broken_answers"] += 1
             log.warning("broken answer", extra={"kv": {"server": self.pool.name, "why": exc}})
-            if self._flow is not None:
-                self._end_flow(None)
+            if self._stream is not None:
+                self._end_stream(None)
             else:
                 self._finish(AttemptResult(Status.RESET if self._written else Status.NOT_SENT), reuse=False)
             return
-        if self._flow is not None:
-            self._flowed(message)
+        if self._stream is not None:
+            self._stream_more(message)
         elif not self._written:
-            self._early(message)
+            self._answered_early(message)
         elif message is not None:
             end = outcome(message)
             if self._parser.for_head_request and end.reply is not None:
@@ -67,16 +67,19 @@
             self._finish(end, reuse=not self._parser.buffer and message.keeps_open())
         elif self._parser.started():
             self._settle()
-            if self._ripe():
-                self._begin_flow()
+            if self._is_streamable():
+                self._start_stream()
             else:
                 attempt = self._attempt
-                self._whole_by = self._servers.clock.after(WHOLE_MS, lambda: self._unfinished(attempt))
+                self._progress_timer = self._servers.clock.after(
+                    ANSWER_STALL_MS, lambda: self._answer_stalled(attempt)
+                )
 
-    def _early(self, message: http1.Message | None) -> None:
-        """No answer precedes its request; nor can that one run now, with its end never to be written.
+    def _answered_early(self, message: http1.Message | None) -> None:
+        """Handle an answer that arrives before its request is written.
 
-        Only that it was turned away unseen says more than that. What is announced (1xx) changes nothing.
+        The rest of the request is not sent, so it never runs; the attempt counts as not sent, unless the
+        server says that it refused it as overloaded. Informational answers (1xx) are ignored.
         """
         if message is None and not self._parser.started():
             return
@@ -84,77 +87,83 @@
         end = outcome(message) if message is not None else AttemptResult(Status.NOT_SENT)
         self._finish(end if end.status == Status.OVERLOADED else AttemptResult(Status.NOT_SENT), reuse=False)
 
-    def _ripe(self) -> bool:
-        """Whether an answer is seen to be a long one that is worth passing on."""
+    def _is_streamable(self) -> bool:
+        """Whether the answer is known to be long enough to be streamed."""
         head, length = self._parser.head, self._parser.length
         if head is None or head.status != 200:
             return False
         if length is None:
-            return self._parser.body_received > UNTOLD_BYTES
-        return length > SMALL_BODY_BYTES and self._parser.body_received >= FIRST_BYTES
+            return self._parser.body_received > MIN_STREAMED_UNDECLARED_BYTES
+        return length > SMALL_BODY_BYTES and self._parser.body_received >= MIN_STREAMED_BYTES
 
-    def _begin_flow(self) -> None:
-        """Pass the answer on as it comes. For its attempt that is the end; the connection stays busy."""
+    def _start_stream(self) -> None:
+        """Start to stream the answer. This ends its attempt, while the connection stays busy."""
         head, attempt = self._parser.head, self._attempt
         assert head is not None and attempt is not None
         self._servers.counters["flows"] += 1
-        self._flow = flow = ResponseStream(
-            self._parser.length, self._hold_back, self._go_on, self._abandon_flow
+        self._stream = stream = ResponseStream(
+            self._parser.length, self._pause, self._resume, self._abort_stream
         )
         self._attempt, attempt.connection = None, None
-        self._heard_at = self._servers.clock.now()
-        self._whole_by = self._servers.clock.after(FLOW_LOOK_MS, lambda: self._look_at_flow(flow))
-        self.transport.bufferSize = FLOW_READ_BYTES
+        self._last_data_at = self._servers.clock.now()
+        self._progress_timer = self._servers.clock.after(STREAM_CHECK_MS, lambda: self._check_stream(stream))
+        self.transport.bufferSize = STREAM_READ_BYTES
         report = read_report(head.get("endpoint-load-metrics"))
-        attempt.end(AttemptResult(Status.OK, Reply(kept(head), self._parser.take_body(), self._flow), report))
+        attempt.end(
+            AttemptResult(
+                Status.OK, Reply(forwarded_headers(head), self._parser.take_body(), self._stream), report
+            )
+        )
 
-    def _flowed(self, message: http1.Message | None) -> None:
-        """More of the answer that is being passed on, or its end."""
-        assert self._flow is not None
-        self._heard_at = self._servers.clock.now()
+    def _stream_more(self, message: http1.Message | None) -> None:
+        """Pass on more of the streamed answer, or its end."""
+        assert self._stream is not None
+        self._last_data_at = self._servers.clock.now()
         if message is not None:
-            self._end_flow(message, reuse=not self._parser.buffer and message.keeps_open())
+            self._end_stream(message, reuse=not self._parser.buffer and message.keeps_open())
         else:
-            self._flow.on_data(self._parser.take_body())
+            self._stream.on_data(self._parser.take_body())
 
-    def _end_flow(self, message: http1.Message | None, reuse: bool = False) -> None:
-        """``message``: holds the last bytes; None: it broke off."""
-        flow, self._flow = self._flow, None
-        assert flow is not None
+    def _end_stream(self, message: http1.Message | None, reuse: bool = False) -> None:
+        """End the streamed answer. ``message``: holds its last bytes; None: it was cut off."""
+        stream, self._stream = self._stream, None
+        assert stream is not None
         self._settle()
         self.transport.bufferSize = READ_BYTES
         self._rest(reuse)
         if message is None:
             self._servers.counters["flows_broken"] += 1
-            flow.on_error()
+            stream.on_error()
         else:
-            flow.on_data(message.body)
-            flow.on_end()
+            stream.on_data(message.body)
+            stream.on_end()
 
-    def _look_at_flow(self, flow: ResponseStream) -> None:
-        if self._flow is not flow:
+    def _check_stream(self, stream: ResponseStream) -> None:
+        if self._stream is not stream:
             return
-        self._whole_by = None
+        self._progress_timer = None
         now = self._servers.clock.now()
-        if self._held_back:
-            self._heard_at = now
-        if now - self._heard_at > FLOW_STILL_MS:
-            self._end_flow(None)
+        if self._paused:
+            self._last_data_at = now
+        if now - self._last_data_at > STREAM_STALL_MS:
+            self._end_stream(None)
         else:
-            self._whole_by = self._servers.clock.after(FLOW_LOOK_MS, lambda: self._look_at_flow(flow))
+            self._progress_timer = self._servers.clock.after(
+                STREAM_CHECK_MS, lambda: self._check_stream(stream)
+            )
 
-    def _hold_back(self) -> None:
-        if self._flow is not None and not self._held_back:
-            self._held_back = True
+    def _pause(self) -> None:
+        if self._stream is not None and not self._paused:
+            self._paused = True
             self.transport.pauseProducing()
 
-    def _abandon_flow(self) -> None:
-        """The client has gone."""
-        if self._flow is not None:
-            self._flow = None
+    def _abort_stream(self) -> None:
+        """Close the connection, as the client has left."""
+        if self._stream is not None:
+            self._stream = None
             self.drop()
 
-    def _unfinished(self, attempt: Attempt | None) -> None:
+    def _answer_stalled(self, attempt: Attempt | None) -> None:
         if attempt is not None and self._attempt is attempt:
             self._servers.counters["unfinished_answers"] += 1
             self._finish(AttemptResult(Status.RESET), reuse=False)
@@ -163,13 +172,13 @@
         self.pool.forget(self)
         self._servers.connections.remove(self.handle)
         self._settle()
-        self._let_body_go()
-        # Without a length, only an orderly end that was announced shows that the answer is whole.
+        self._detach_body()
+        # An answer without a length is complete only if its close was announced and orderly.
         message = self._parser.eof() if isinstance(reason.value, ConnectionDone) else None
         if message is not None and message.keeps_open():
             message = None
-        if self._flow is not None:
-            self._end_flow(message)
+        if self._stream is not None:
+            self._end_stream(message)
         elif self._attempt is not None:
             if message is not None and self._written:
                 end = outcome(message)
--- a/lupinlink/net/application_servers/dialling.py
+++ b/lupinlink/net/application_servers/dialling.py
@@ -1,4 +1,4 @@
-"""A connection on its way up."""
+"""Establishes connections to application servers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Dial(ClientFactory):
-    """One connection on its way up, for one attempt."""
+    """Establishes one connection, for one attempt."""
 
     noisy = False
 
@@ -32,7 +32,7 @@
     def start(self, reactor: Reactor) -> None:
         self._timer = self._servers.clock.after(self._servers.settings.dial_timeout_ms, self._too_slow)
         pool = self.pool
-        # Twisted's own time-out is off: the wheel has it.
+        # Twisted's own time-out is off: the timer above replaces it.
         connector = reactor.connectTCP(pool.host, pool.port, self, timeout=None)
         if self._timer is not None:
             self._connector = connector
@@ -44,8 +44,8 @@
         return connection
 
     def made(self, connection: PooledConnection) -> None:
-        """It is up."""
-        self.pool.dialled(self._servers.clock.now() - self._began)
+        """The connection is established: send the attempt on it."""
+        self.pool.record_dial(self._servers.clock.now() - self._began)
         attempt = self._settle()
         if attempt is None:
             connection.drop()
@@ -57,11 +57,11 @@
         attempt = self._settle()
         if attempt is not None:
             self._servers.counters["dials_failed"] += 1
-            self.pool.dialled(why=reason.getErrorMessage())
+            self.pool.record_dial(why=reason.getErrorMessage())
             attempt.end(AttemptResult(Status.UNREACHABLE))
 
     def abandon(self) -> None:
-        """Nobody waits for it any more."""
+        """Stop connecting: nobody waits for it any more."""
         self._settle()
         if self._connector is not None:
             with suppress(Exception):
@@ -72,7 +72,7 @@
         self.abandon()
         if attempt is not None:
             self._servers.counters["dials_too_slow"] += 1
-            self.pool.dialled(why="too slow")
+            self.pool.record_dial(why="too slow")
             attempt.end(AttemptResult(Status.UNREACHABLE))
 
     def _settle(self) -> Attempt | None:
--- a/lupinlink/net/application_servers/idle_connections.py
+++ b/lupinlink/net/application_servers/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to application servers that stand idle, of all pools, by how long they have."""
+"""The idle connections of all pools, ordered by how long they have been idle."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PooledConnection(Protocol):
-    """A connection that may stand idle."""
+    """A connection that can be idle in a pool."""
 
     handle: int
     idle_since: float
@@ -28,7 +28,7 @@
 
 
 class IdleConnections:
-    """All of them, the one that has been idle longest first."""
+    """The idle connections, the one that has been idle longest first."""
 
     def __init__(self) -> None:
         self._by_age: list[tuple[float, int, PooledConnection]] = []
@@ -37,17 +37,17 @@
         return len(self._by_age)
 
     def add(self, connection: PooledConnection) -> None:
-        """It stands idle; ``idle_since`` and ``handle`` stay as they are while it does."""
+        """Add an idle connection; its ``idle_since`` and ``handle`` must not change until it is removed."""
         insort(self._by_age, (connection.idle_since, connection.handle, connection), key=BY_AGE)
 
     def remove(self, connection: PooledConnection) -> None:
-        """It stands idle no longer, if it did."""
+        """Remove a connection, if it is here."""
         place = bisect_left(self._by_age, (connection.idle_since, connection.handle), key=BY_AGE)
         if place < len(self._by_age) and self._by_age[place][2] is connection:
             del self._by_age[place]
 
     def oldest(self, since: float = math.inf) -> PooledConnection | None:
-        """The one that has been idle longest, if that began at that time or before."""
+        """The one that has been idle longest, if it has been idle since ``since`` or before."""
         if not self._by_age or self._by_age[0][0] > since:
             return None
         return self._by_age[0][2]
--- a/lupinlink/net/application_servers/pool.py
+++ b/lupinlink/net/application_servers/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to one process of an application server."""
+"""The connection pool of one process of an application server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lupinlink.net.application_servers.idle_connections import PooledConnection as PooledConnection
 
 log = logging.getLogger("lupinlink.net.application_servers")
-SENT_LATELY_MS = 10_000.0  # neither: of others nobody asks
+RECENTLY_SENT_MS = 10_000.0  # a server that leaves service is logged if it was sent a request this recently
 
 
 @dataclass(slots=True, eq=False)
@@ -21,46 +21,46 @@
     host: str
     port: int
     started_ms: float
-    all_idle: IdleConnections = field(default_factory=IdleConnections)  # those of all pools
-    current: bool = True  # False: that process is gone, or wants nothing more
-    trip_ms: float = math.inf  # there and back: of the connection that came up quickest
-    reached: bool = True  # whether the last connection came up; its changes are logged, not each failure
-    sent_at: float = -math.inf  # the first byte of the last request
+    all_idle: IdleConnections = field(default_factory=IdleConnections)  # shared by all pools
+    current: bool = True  # False: the process is gone, or takes no new requests
+    round_trip_ms: float = math.inf  # the shortest time in which a connection was established
+    reached: bool = True  # whether the last connection was established; only changes are logged
+    sent_at: float = -math.inf  # when the first byte of the last request was sent
     idle: list[PooledConnection] = field(default_factory=list)  # the most recently used last
 
-    def dialled(self, took_ms: float = math.inf, why: str = "") -> None:
-        """A connection came up in that time, or did not and why."""
-        self.trip_ms = min(self.trip_ms, took_ms)
+    def record_dial(self, took_ms: float = math.inf, why: str = "") -> None:
+        """Note that a connection was established in this time, or why it failed."""
+        self.round_trip_ms = min(self.round_trip_ms, took_ms)
         if self.reached == bool(why):
             self.reached = not why
             what = "application server out of reach" if why else "application server in reach again"
             log.info(what, extra={"kv": {"server": self.name, "why": why or "connected"}})
 
-    def leaves_service(self, now: float) -> None:
-        """It takes nothing new from now on: whether that was kept can be seen by when it was sent to last."""
-        if now - self.sent_at < SENT_LATELY_MS:
+    def log_out_of_service(self, now: float) -> None:
+        """Log that it takes no new requests and when it was last sent one, which shows if one was late."""
+        if now - self.sent_at < RECENTLY_SENT_MS:
             kv = {"server": self.name, "sent_ms_ago": int(now - self.sent_at)}
             log.info("backend leaves service", extra={"kv": kv})
 
     def rest(self, connection: PooledConnection) -> None:
-        """It stands idle from now on."""
+        """Return a connection to the pool."""
         self.idle.append(connection)
         self.all_idle.add(connection)
 
     def take(self) -> PooledConnection:
-        """The one that was used last; there has to be one."""
+        """Take out the most recently used idle connection; there has to be one."""
         connection = self.idle.pop()
         self.all_idle.remove(connection)
         return connection
 
     def forget(self, connection: PooledConnection) -> None:
-        """It stands idle no longer, if it did."""
+        """Remove a connection, if it is idle here."""
         if connection in self.idle:
             self.idle.remove(connection)
             self.all_idle.remove(connection)
 
-    def void(self) -> None:
-        """Close what is idle; what is busy closes after its attempt."""
+    def retire(self) -> None:
+        """Close the idle connections; busy ones are closed after their attempts."""
         self.current = False
         while self.idle:
             self.take().drop()
--- a/lupinlink/net/application_servers/pools.py
+++ b/lupinlink/net/application_servers/pools.py
@@ -1,4 +1,4 @@
-"""All pools of connections to application servers, under one cap; each attempt finds its connection here."""
+"""The connection pools of all application servers; finds a connection for each attempt."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from lupinlink.net.twisted_types import Reactor
 from lupinlink.settings import Settings
 
-IDLE_SHARE = 0.6  # of the application server's idle limit: a request must never meet its close half-way
+IDLE_LIMIT_SHARE = 0.6  # of the server's idle time-out, so that no request crosses the close
 SWEEP_MS = 250.0
-PROBE_MS = 1000.0
+PROBE_TIMEOUT_MS = 1000.0
 
 
 class ApplicationServers:
-    """All pools, under one cap on connections."""
+    """The pools, with one limit on the number of connections."""
 
     def __init__(
         self,
@@ -45,64 +45,64 @@
         self._reactor = reactor
         self._pools: dict[str, Pool] = {}
         self._idle = IdleConnections()
-        self._idle_ms = settings.idle_close_ms * IDLE_SHARE
+        self._idle_ms = settings.idle_close_ms * IDLE_LIMIT_SHARE
         clock.after(SWEEP_MS, self._sweep)
 
     def resize(self, cap: int) -> None:
-        """Have room for so many connections; idle ones beyond it go at once, busy ones when they end."""
+        """Change the limit on connections; idle ones above it are closed at once, busy ones when they end."""
         self.connections.capacity = cap
         while len(self.connections) > cap and self._evict():
             pass
 
     def update_list(self, rows: list[tuple[Endpoint, str, int]], full: bool) -> None:
-        """Discovery's list: a new process under a known name, or a new address, voids the old pool."""
+        """Apply rows of discovery's list; a new process or address of a known name gets a new pool."""
         named = {row.name for row, _, _ in rows}
         for row, host, port in rows:
             pool = self._pools.get(row.name)
             if pool is None or (pool.host, pool.port) != (host, port) or row.started_ms > pool.started_ms:
                 if pool is not None:
-                    pool.void()
+                    pool.retire()
                 pool = Pool(row.name, host, port, row.started_ms, self._idle)
                 self._pools[row.name] = pool
             was_current, pool.current = pool.current, row.state == EndpointState.READY
             if not pool.current:
                 if was_current:
-                    pool.leaves_service(self.clock.now())
-                pool.void()
+                    pool.log_out_of_service(self.clock.now())
+                pool.retire()
             if row.state == EndpointState.GONE:
                 del self._pools[row.name]
         for name in [n for n in self._pools if n not in named] if full else ():
             pool = self._pools.pop(name)
             if pool.current:
-                pool.leaves_service(self.clock.now())
-            pool.void()
+                pool.log_out_of_service(self.clock.now())
+            pool.retire()
 
     def start(
         self,
         server: str,
-        call: ClientRequest,
+        request: ClientRequest,
         timeout_ms: float,
         begin_by_ms: float,
         wanted: Callable[[], bool],
     ) -> Attempt:
-        """Send an attempt on an idle connection, or on a new one."""
+        """Start an attempt on an idle connection, or on a new one."""
         pool = self._pools.get(server)
         host = f"{pool.host}:{pool.port}" if pool is not None else server
         until = self.clock.now() + timeout_ms
-        request = partial(encode_request, call, host)
-        return self._send(Attempt(self, server, request, until, begin_by_ms, wanted, call.method == "HEAD"))
+        encode = partial(encode_request, request, host)
+        return self._send(Attempt(self, server, encode, until, begin_by_ms, wanted, request.method == "HEAD"))
 
     def probe(self, server: str) -> Deferred[AttemptResult]:
-        """Ask an application server how it fares."""
+        """Ask an application server whether it is alive, or for its load report."""
         target = "/metrics/load" if self.settings.reports_in_probes else "/alive"
         data = http1.request("GET", target, [("Host", server)])
-        attempt = Attempt(self, server, lambda left: (data, None), self.clock.now() + PROBE_MS)
+        attempt = Attempt(self, server, lambda left: (data, None), self.clock.now() + PROBE_TIMEOUT_MS)
         return self._send(attempt).ended.addCallback(self._probed)
 
     @staticmethod
     def _probed(end: AttemptResult) -> AttemptResult:
-        if end.reply is not None and end.reply.flow is not None:
-            end.reply.flow.stop()
+        if end.reply is not None and end.reply.stream is not None:
+            end.reply.stream.stop()
         if end.reply is not None and end.report is None:
             end.report = read_report(end.reply.body.decode("latin-1"))
         return end
@@ -134,7 +134,7 @@
         return attempt
 
     def _evict(self) -> bool:
-        """Make room: the connection that has been idle longest goes. Its socket is freed a turn later."""
+        """Close the connection that has been idle longest. Its socket is freed one loop iteration later."""
         oldest = self._idle.oldest()
         if oldest is not None:
             oldest.pool.forget(oldest)
@@ -143,7 +143,7 @@
         return oldest is not None
 
     def _sweep(self) -> None:
-        """Close idle connections well before their application server would."""
+        """Close idle connections well before their application server does."""
         limit = self.clock.now() - self._idle_ms
         while (connection := self._idle.oldest(limit)) is not None:
             connection.pool.forget(connection)
@@ -156,17 +156,17 @@
                 "pools": len(self._pools)}  # fmt: skip
 
     def busy_servers(self) -> set[str]:
-        """Application servers with a request from here, or a connection that is on its way up for one."""
+        """Application servers with a request in flight, or a connection being established for one."""
         resting = {id(one) for pool in self._pools.values() for one in pool.idle}
         pools = (getattr(one, "pool", None) for one in self.connections if id(one) not in resting)
         return {pool.name for pool in pools if isinstance(pool, Pool)}
 
     def is_reachable(self, server: str) -> bool:
-        """Whether the last connection to it came up; True before the first."""
+        """Whether the last connection to it was established; True before the first."""
         pool = self._pools.get(server)
         return pool is None or pool.reached
 
     def close(self) -> None:
-        """Close what is idle; for a stop."""
+        """Close all idle connections, before the process exits."""
         for pool in self._pools.values():
-            pool.void()
+            pool.retire()
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -1,4 +1,4 @@
-"""A connection to an application server as requests go out on it: heads, bodies as they come, rests."""
+"""The sending half of a connection to an application server: heads, streamed bodies, return to the pool."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 from lupinlink.net.timer_wheel import Timer
 from lupinlink.net.twisted_types import READ_BYTES, Transport
 
-STALL_MS = 5000.0  # so long may an application server take nothing of a body
+UPLOAD_STALL_MS = 5000.0  # time-out for an application server to accept more of a body
 WRITE_BYTES = 64 * 1024
-EARLY_READS = 4  # at most, of what a server announces (1xx) before it was asked
+EARLY_READS = 4  # reads of data, such as 1xx answers, that a server may send before its request
 
 
 class ConnectionOpener(Protocol):
-    """What brought a connection up."""
+    """Is notified when the connection that it opened is established."""
 
     def made(self, connection: PooledConnection) -> None: ...
 
 
 @implementer(IPullProducer)
 class SendingConnection(TcpProtocol):
-    """One connection to an application server: one attempt at a time, idle in its pool between.
+    """The sending half of a connection: it carries one attempt at a time and is idle in its pool otherwise.
 
-    As a pull producer it learns when the kernel has taken a request's last byte: a break before that
-    proves that the request never ran, a break after it does not.
+    As a pull producer it learns when the kernel has accepted the last byte of a request: if the connection
+    breaks before that, the request certainly never ran; after that it may have.
     """
 
     transport: Transport  # type: ignore[assignment]
@@ -47,12 +47,12 @@
         self._parser = http1.ResponseParser(http1.MAX_MESSAGE)
         self._unsent: bytes | None = None
         self._body: Body | None = None  # of the request, while some of it is still to be sent
-        self._sent = 0  # bytes of it that have gone out
-        self._starved = False  # it has no more at the moment
+        self._sent = 0  # bytes of the body that were sent
+        self._awaiting_body = False  # all that was received of the body is sent
         self._written = True
-        self._beginning = False  # a request is being handed to the kernel by ``carry`` itself
-        self._whole_by: Timer | None = None
-        self._held_back = False  # by the client, which does not read
+        self._beginning = False  # ``carry`` is handing a request to the kernel
+        self._progress_timer: Timer | None = None
+        self._paused = False  # not read, as the client does not read its streamed answer
         self.idle_since = 0.0
         self.handle = 0
 
@@ -63,36 +63,37 @@
         self._dial.made(self)
 
     def carry(self, attempt: Attempt) -> None:
-        """Send an attempt's request. No byte of one goes out but from here, and this is the last look before.
+        """Send an attempt's request, after a last check that it may be sent.
 
-        Its connection may have been long on its way up: has its server been drained or replaced since, has
-        its client gone, is there time left, is the list still relied on?
+        Establishing the connection may have taken long: since then the server may have been drained or
+        replaced, the client may have left, the time may be up, or the list may not be trusted any more.
         """
-        may_begin = self.pool.current and attempt.may_begin(self.pool.trip_ms)
+        may_begin = self.pool.current and attempt.may_begin(self.pool.round_trip_ms)
         if not may_begin or self._servers.list_is_held():
-            self._leave_unbegun(attempt)
+            self._drop_unsent(attempt)
             return
         unsent, body = attempt.request()
-        # Danger: what discovery has written counts as told though it lies unread. Nothing from here to the
-        # write may take long: no look at the clock, no call to the decisions, no turn of the reactor.
+        # Updates that discovery has written count as notified even while they are unread here. So they are
+        # read now, and nothing between this and the write may take long: no call to the clock or to the
+        # decision module, no return to the reactor.
         news_cut_short = self._servers.read_waiting_news()
         if news_cut_short or not (self.pool.current and attempt.is_open):
-            self._leave_unbegun(attempt)
+            self._drop_unsent(attempt)
             return
         self._attempt, attempt.connection = attempt, self
         self._unsent, self._body = unsent, body
-        self._written, self._sent, self._starved = False, 0, False
+        self._written, self._sent, self._awaiting_body = False, 0, False
         self._parser.for_head_request = attempt.only_head
         if self._body is not None:
-            self._body.on_data = self._more
-        if not self._ends_unasked():
+            self._body.on_data = self._body_has_more
+        if not self._server_spoke_first():
             self._write_now()
             self.pool.sent_at = self._servers.clock.now()
 
-    def _ends_unasked(self) -> bool:
-        """Whether its server has ended or answered before its request: then no byte of that goes out.
+    def _server_spoke_first(self) -> bool:
+        """Whether the server closed the connection or answered before its request, which is then not sent.
 
-        What is here is read, for it may say more than that. An end is left to the reactor.
+        Data is read, as it may tell why. A close is left to the reactor.
         """
         attempt = self._attempt
         for _ in range(EARLY_READS):
@@ -103,17 +104,18 @@
                 return True
         return False
 
-    def _leave_unbegun(self, attempt: Attempt) -> None:
-        """End an attempt of which no byte may go out any more; its connection rests again."""
+    def _drop_unsent(self, attempt: Attempt) -> None:
+        """End an attempt that may not be sent any more; its connection returns to the pool."""
         self._servers.counters["attempts_not_begun"] += 1
         self._rest(reuse=True, used=False)
         attempt.end(AttemptResult(Status.NOT_SENT))
 
     def _write_now(self) -> None:
-        """Hand the request to the kernel in this call; what it does not take now goes as it has room.
+        """Hand the request to the kernel within this call; what it does not accept is written later.
 
-        Danger: Twisted by itself writes in the reactor's next turn, after whatever else this one holds. A
-        write that fails is left to the reactor: the transport still waits to write, and meets it again.
+        Twisted on its own writes in the next iteration of the event loop, after everything else in this one,
+        by when the checks may be outdated. A failed write is left to the reactor, which retries and reports
+        it.
         """
         self._beginning = True
         try:
@@ -123,30 +125,30 @@
             self._beginning = False
 
     def resumeProducing(self) -> None:
-        """All that was written has gone to the kernel."""
+        """Everything written so far is with the kernel."""
         if self._unsent is not None:
             data, self._unsent = self._unsent, None
             self.transport.write(data)
         elif self._body is not None and self._beginning:
-            # Its caller does not hold the attempt yet, which a body may commit or end: from the next turn on.
+            # Not in this call: the body may commit or end the attempt, which start() has not returned yet.
             self.transport.startWriting()
         elif self._body is not None:
-            self._pump()
+            self._send_body()
         else:
             self._written = True
             self.transport.unregisterProducer()
 
-    def _more(self) -> None:
-        if self._starved or (self._body is not None and self._body.truncated):
-            self._starved = False
-            self._pump()
+    def _body_has_more(self) -> None:
+        if self._awaiting_body or (self._body is not None and self._body.truncated):
+            self._awaiting_body = False
+            self._send_body()
 
-    def _pump(self) -> None:
-        """Send on what is here of the request's body."""
+    def _send_body(self) -> None:
+        """Send what has been received of the request's body."""
         body = self._body
         assert body is not None
         if body.truncated:
-            # Its end is never to be written, so it never runs.
+            # The request is never completed, so it never runs.
             self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
             return
         data = body.read(self._sent, WRITE_BYTES)
@@ -161,15 +163,16 @@
         if out:
             self.transport.write(out)
             attempt = self._attempt
-            self._whole_by = self._servers.clock.after(STALL_MS, lambda: self._stalled(attempt))
+            self._progress_timer = self._servers.clock.after(UPLOAD_STALL_MS, lambda: self._stalled(attempt))
         elif last:
             self.resumeProducing()
         else:
-            self._starved = True
+            self._awaiting_body = True
         body.mark_sent(self._sent)
 
     def _stalled(self, attempt: Attempt | None) -> None:
-        # Timers that come due together all run: by now it may carry another.
+        # Timers that are due together all run, even if one is dropped: the connection may carry another
+        # attempt.
         if attempt is not None and self._attempt is attempt and not self._written:
             self._servers.counters["uploads_stalled"] += 1
             self._finish(AttemptResult(Status.NOT_SENT), reuse=False)
@@ -178,25 +181,26 @@
         pass  # connectionLost follows
 
     def drop(self) -> None:
-        """Close at once. Twisted closes on its next turn, after other writes: the end must go first."""
+        """Close at once: Twisted alone would close it in the next loop iteration, after other writes."""
         self._attempt = None
         self._settle()
-        self._let_body_go()
+        self._detach_body()
         with suppress(OSError, AttributeError):
             self.transport.getHandle().shutdown(socket.SHUT_RDWR)
         self.transport.abortConnection()
 
     def stale(self) -> bool:
-        """Whether this idle connection has ended, or brought what nobody asked for: no request may meet it.
+        """Whether this idle connection must not be used: it was closed, or unsolicited data has arrived.
 
-        Danger: bytes that came behind the last answer would be taken for the answer to the next request.
+        Bytes after the last answer would be taken for the answer to the next request.
         """
         return peek(self.transport) is not None
 
-    def catch_up(self) -> None:
-        """Read what is here of an answer already, at most so much as one that is not passed on may hold.
+    def read_pending(self) -> None:
+        """Read what has arrived of an answer, at most as much as an answer that is not streamed can have.
 
-        Danger: what is seen here may still not be given to a read. Nothing may be tried until it is.
+        Bytes that are seen in the socket may not be returned by a read yet, so the number of tries is
+        limited.
         """
         for _ in range(SMALL_BODY_BYTES // READ_BYTES + 1):
             if self._attempt is None or not peek(self.transport):
@@ -204,9 +208,9 @@
             self.transport.doRead()
 
     def _settle(self) -> None:
-        if self._whole_by is not None:
-            self._whole_by.drop()
-            self._whole_by = None
+        if self._progress_timer is not None:
+            self._progress_timer.drop()
+            self._progress_timer = None
 
     def _finish(self, end: AttemptResult, reuse: bool) -> None:
         self._settle()
@@ -217,8 +221,8 @@
         attempt.end(end)
 
     def _rest(self, reuse: bool, used: bool = True) -> None:
-        """Back to the pool, or closed."""
-        self._go_on()
+        """Return the connection to the pool, or close it."""
+        self._resume()
         if reuse and self.pool.current:
             if used:
                 self.idle_since = self._servers.clock.now()
@@ -226,13 +230,13 @@
         else:
             self.drop()
 
-    def _go_on(self) -> None:
-        if self._held_back:
-            self._held_back = False
+    def _resume(self) -> None:
+        if self._paused:
+            self._paused = False
             self.transport.resumeProducing()
 
-    def _let_body_go(self) -> None:
-        """What is still to be sent of a request never will be, from here."""
+    def _detach_body(self) -> None:
+        """Stop sending the request's body."""
         body, self._body = self._body, None
         if body is not None:
             body.on_data = None
--- a/lupinlink/net/client_drain.py
+++ b/lupinlink/net/client_drain.py
@@ -1,4 +1,4 @@
-"""Sees clients off while a drain, a handover or a stop is on, until nothing more can come."""
+"""Closes the clients' connections during a drain, a handover or a stop."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from lupinlink.net.components import Components
 
-CHECK_MS = 20.0  # how often connections are looked through while they are to go
+CHECK_MS = 20.0  # between checks
 
 
 class ClientDrain:
-    """The lifecycle says who goes when; ``leave`` is called once the process may end."""
+    """Checks periodically what the lifecycle wants closed; calls ``exit_process`` once it may exit."""
 
-    def __init__(self, parts: Components, leave: Callable[[], None]) -> None:
-        self._clock, self._lifecycle = parts.clock, parts.lifecycle
-        self._proxy, self._clients = parts.proxy, parts.clients
-        self._leave = leave
+    def __init__(self, components: Components, exit_process: Callable[[], None]) -> None:
+        self._clock, self._lifecycle = components.clock, components.lifecycle
+        self._proxy, self._clients = components.proxy, components.clients
+        self._exit_process = exit_process
         self._checking = False
 
-    def watch(self) -> None:
-        """Begin, unless it is on already."""
+    def start(self) -> None:
+        """Start checking, unless it runs already."""
         if not self._checking:
             self._checking = True
             self._check()
 
     def _check(self) -> None:
-        """While clients are to go: see them off, and leave once nothing more can come."""
+        """Close idle connections and answer open requests when it is time; exit once nothing is left."""
         now, state = self._clock.now(), self._lifecycle
         if state.keeps_connections():
             self._checking = False
@@ -34,9 +34,9 @@
             self._proxy.end_all()
         if now >= state.close_idle_from():
             self._clients.close_idle(include_new=state.stopping)
-        # Danger: who waits in the kernel's queue is taken already, as clients see it, and a close resets it.
+        # Connections in the accept queue count: their clients see them as open, and an exit would reset them.
         left = len(self._clients.connections) + self._proxy.open + self._clients.queued
         if state.may_exit(now, left):
-            self._leave()
+            self._exit_process()
         else:
             self._clock.after(CHECK_MS, self._check)
--- a/lupinlink/net/clients/__init__.py
+++ b/lupinlink/net/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients: the listener and the HTTP/1.1 that clients speak with it."""
+"""The client side: the listener and the HTTP/1.1 connections of clients."""
 
 from lupinlink.net.clients.listener import Clients, Listener
 from lupinlink.net.clients.phases import Phase
--- a/lupinlink/net/clients/connection.py
+++ b/lupinlink/net/clients/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection as such: whether it gets on, what of it is read, and how it ends."""
+"""A client's connection, whatever it carries: its progress, reading, and closing."""
 
 from __future__ import annotations
 
@@ -24,73 +24,73 @@
 from lupinlink.net.timer_wheel import ReactorClock
 from lupinlink.net.twisted_types import READ_BYTES, Transport, unsent
 
-LOOKS = 4  # reads at most to find a client's end behind what it sent ahead; others wait meanwhile
-UNREAD_MS = 20000.0  # so long may a client read nothing of an answer that is passed on to it
+MAX_READS = 4  # at most, to find a close behind unread data; other connections wait meanwhile
+NOT_READING_TIMEOUT_MS = 20000.0  # for a client that reads nothing of an answer that is streamed to it
 
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request whose body is on its way."""
+    """A request whose body is being received."""
 
     call: ClientRequest
     progress: BodyProgress
 
 
 class ConnectionOwner(Protocol):
-    """What holds all connections, as one of them sees it."""
+    """What a connection needs of the owner of all connections."""
 
     proxy: Proxy
     clock: ReactorClock
     counters: Counters
-    budget: BodyBudget  # for all bodies on their way in
-    streaming: dict[ClientConnection, None]  # answers are being passed on to these
-    uploading: dict[ClientConnection, None]  # their requests are with the decisions before their end
+    budget: BodyBudget  # for all request bodies
+    streaming: dict[ClientConnection, None]  # connections with an answer that is being streamed
+    uploading: dict[ClientConnection, None]  # connections with a request that is sent on before its end
 
     @property
     def ready(self) -> bool:
-        """Whether a front should send clients here."""
+        """Whether a load balancer should send clients here."""
 
     def read(self, message: http1.Message, path: str) -> ClientRequest:
-        """A request in the terms of the decisions; raises MessageError for what cannot be put so."""
+        """The request with this head; raises MessageError if it is not valid."""
 
-    def enter(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
-        """A connection's phase begins, or begins ``anew``; None: it has ended."""
+    def set_phase(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
+        """Set a connection's phase, or restart it with ``anew``; None: the connection has ended."""
 
     def keeps(self, client: ClientConnection) -> bool:
-        """Whether a connection that has its answer stays."""
+        """Whether a connection is kept open after its answer."""
 
     def lost(self, client: ClientConnection) -> None:
-        """A connection has ended."""
+        """Note that a connection has ended."""
 
 
 class ClientConnection(Connection):
-    """One connection, whatever is said on it."""
+    """One connection of a client: when it is closed, and what is read of it."""
 
     transport: Transport  # type: ignore[assignment]
 
     def __init__(self, clients: ConnectionOwner) -> None:
         self._clients = clients
         self._parser = http1.RequestParser(http1.MAX_MESSAGE)
-        self._intake: IncomingRequest | None = None
-        self._deaf = self._not_reading = False
-        self._unread: set[str] = set()  # why it is not read
-        self._left = math.inf  # bytes still to be read by a peer that is to go, at the last look
+        self._incoming: IncomingRequest | None = None
+        self._closing = self._not_reading = False
+        self._paused_for: set[str] = set()  # the reasons for which it is not read
+        self._last_unread_bytes = math.inf  # that a closing client had still to read at the last check
         self.not_reading_since = 0.0
         self.phase: Phase | None = None
         self.since = 0.0  # when the phase began
-        self.made_at = self.heard_at = clients.clock.now()
-        self.asked = False  # a whole request was here
+        self.connected_at = self.last_read_at = clients.clock.now()
+        self.has_requested = False  # a whole request was received on it
         self.address = ""
-        self.idle_period: IdlePeriod | None = None  # while it stands between two requests
+        self.idle_period: IdlePeriod | None = None  # while it is idle between two requests
         self.handle = 0
-        self.held_ms = 0.0  # how long its first request may have waited unread; inf: not known
+        self.waited_ms = 0.0  # how long its first request may have waited unread; inf: unknown
 
     def bytes_to_go(self) -> tuple[int, int]:
-        """Bytes still to go of a long answer or of a body that comes, and how many of both do not tell."""
+        """The bytes left of the streamed answer and the request body, and how many of them lack a length."""
         raise NotImplementedError
 
-    def _drop_all(self) -> None:
-        """Nothing more is taken or passed on here."""
+    def _release_all(self) -> None:
+        """Drop the open request, its body and its streamed answer."""
         raise NotImplementedError
 
     def connectionMade(self) -> None:
@@ -98,62 +98,64 @@
         self.transport.bufferSize = READ_BYTES
         self.transport.registerProducer(self, True)
 
-    def _look(self) -> bool | None:
-        """Whether something has come that was not read yet; None: the client's end, or a break, is next."""
+    def _peek(self) -> bool | None:
+        """Whether unread data has arrived; None: the next to read is a close or an error."""
         byte = peek(self.transport)
         return None if byte == b"" else byte is not None
 
-    def unread(self) -> bool:
-        """Whether something has come that was not read yet."""
-        return bool(self._look())
+    def has_unread(self) -> bool:
+        """Whether unread data has arrived."""
+        return bool(self._peek())
 
     def has_left(self) -> bool:
-        """Whether its client has closed, as far as can be seen now.
+        """Whether its client has closed the connection, as far as is known here.
 
-        Danger: its end may be here behind bytes that were not read yet. So these are read first, but for a
-        body on its way in: it goes its own way, and without its last byte its request never runs.
+        A close can be behind unread data, so that is read first. Except for a request body, which is read as
+        its buffer has room: the request does not run without its last byte.
         """
-        for _ in range(LOOKS):
-            if (more := self._look()) is None or self._deaf:
+        for _ in range(MAX_READS):
+            if (more := self._peek()) is None or self._closing:
                 return True
-            if not more or self._unread or self._intake is not None:
+            if not more or self._paused_for or self._incoming is not None:
                 break
             self.transport.doRead()
-        return self._deaf
+        return self._closing
 
     @property
     def begun(self) -> bool:
-        """Whether a part of a request is here."""
+        """Whether part of a request has been received."""
         return self._parser.started()
 
-    def stuck(self, now: float) -> bool:
-        """Whether it does not read the answer that is passed on to it."""
-        return self._not_reading and now - self.not_reading_since > UNREAD_MS
+    def is_stuck(self, now: float) -> bool:
+        """Whether it has not read its streamed answer for too long."""
+        return self._not_reading and now - self.not_reading_since > NOT_READING_TIMEOUT_MS
 
     @property
     def not_reading(self) -> bool:
-        """Whether it does not read at the moment."""
+        """Whether it is not reading its answer at present."""
         return self._not_reading
 
-    def late(self, now: float) -> bool:
-        """Whether the request that it is sending does not get on."""
-        if self._intake is not None:
-            return self._intake.progress.timed_out(now)
+    def is_overdue(self, now: float) -> bool:
+        """Whether the request that it is sending makes no progress."""
+        if self._incoming is not None:
+            return self._incoming.progress.timed_out(now)
         return (
-            now - self.since > HEAD_TIMEOUT_MS if self.asked else now - self.made_at > FIRST_HEAD_TIMEOUT_MS
+            now - self.since > HEAD_TIMEOUT_MS
+            if self.has_requested
+            else now - self.connected_at > FIRST_HEAD_TIMEOUT_MS
         )
 
-    def leave(self, overdue: bool) -> None:
-        """Its time is up, or others need the room."""
+    def evict(self, overdue: bool) -> None:
+        """Close it, as its time is up (``overdue``) or others need the room."""
         if self.phase is Phase.CLOSING and overdue:
-            # Closing at once would take what a slow reader has still to read along.
-            before, self._left = self._left, self._still_to_read()
-            if not 0 < self._left < before:
+            # A client that is still reading its last answer gets more time: an abort would discard the rest.
+            before, self._last_unread_bytes = self._last_unread_bytes, self._unread_by_client()
+            if not 0 < self._last_unread_bytes < before:
                 self.transport.abortConnection()
             else:
-                self._clients.enter(self, Phase.CLOSING, anew=True)
+                self._clients.set_phase(self, Phase.CLOSING, anew=True)
         elif self.phase is Phase.CLOSING:
-            # No reset, which could overtake the answer: our side has ended already, now the other does.
+            # Not an abort: its reset could overtake the answer. The sending direction is closed already.
             self.transport.loseConnection()
         elif self._parser.started():
             self.reject(408, "request did not arrive")
@@ -161,52 +163,52 @@
             self.close()
 
     def abort(self) -> None:
-        """End it at once."""
+        """Reset the connection."""
         self.transport.abortConnection()
 
-    def _still_to_read(self) -> float:
+    def _unread_by_client(self) -> float:
         with suppress(OSError, AttributeError):
             waiting = fcntl.ioctl(self.transport.getHandle(), termios.TIOCOUTQ, b"\0" * 4)
             return float(int.from_bytes(waiting, sys.byteorder) + unsent(self.transport))
         return 0.0
 
     def reject(self, status: int, why: str) -> None:
-        """Answer what is no proper request, and take nothing more from this connection."""
+        """Answer an invalid request, and close the connection."""
         self._clients.counters[f"rejected_{status}"] += 1
         text = [("Content-Type", "text/plain")]
         self.transport.write(http1.response(status, text, f"{why}\n".encode(), close=True))
         self.close()
 
     def close(self) -> None:
-        """Take nothing more; what was written goes out. The one orderly end of a connection.
+        """Close it in order: take nothing more, and let the client read what was written.
 
-        Only our side ends, and what still comes is read and dropped until the client's does: a close over
-        unread bytes resets the connection, and takes along an answer that is still on its way. The sweep
-        aborts what does not get there.
+        Only the sending direction is closed; what the client still sends is read and discarded until it
+        closes too. Closing a socket with unread data would reset the connection and lose an answer on its
+        way. The periodic sweep aborts connections whose client does not close.
         """
-        self._deaf = True
-        self._clients.enter(self, Phase.CLOSING)
-        self._parser = http1.RequestParser()  # what it held is dropped
-        self._drop_all()
+        self._closing = True
+        self._clients.set_phase(self, Phase.CLOSING)
+        self._parser = http1.RequestParser()  # drops its buffer
+        self._release_all()
         self.transport.unregisterProducer()
-        self._unread.clear()
+        self._paused_for.clear()
         self.transport.resumeProducing()
         self.transport.loseWriteConnection()
 
-    def make_way(self) -> None:
-        """Others need its place: the socket goes as well, once what was written has gone to the kernel."""
-        self.leave(overdue=False)
+    def close_for_room(self) -> None:
+        """Close it to make room: the socket too, once the kernel has accepted everything written."""
+        self.evict(overdue=False)
         self.transport.loseConnection()
 
-    def _read_on(self, why: str, on: bool) -> None:
-        """Read it, or leave it unread for that reason until ``on``."""
-        before = bool(self._unread)
+    def _set_reading(self, why: str, on: bool) -> None:
+        """Stop reading for the reason ``why``, or resume (``on``) if no other reason is left."""
+        before = bool(self._paused_for)
         if on:
-            self._unread.discard(why)
+            self._paused_for.discard(why)
         else:
-            self._unread.add(why)
-        if before != bool(self._unread):
-            if self._unread:
+            self._paused_for.add(why)
+        if before != bool(self._paused_for):
+            if self._paused_for:
                 self.transport.pauseProducing()
             else:
                 self.transport.resumeProducing()
--- a/lupinlink/net/clients/connection_table.py
+++ b/lupinlink/net/clients/connection_table.py
@@ -1,4 +1,4 @@
-"""Who has a place among the connections of clients, and who gives way to others."""
+"""The table of client connections: their phases and time-outs, and which ones are closed to make room."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from lupinlink.net.slots import Slots
 from lupinlink.net.timer_wheel import ReactorClock
 
-PEEKS = 8  # connections looked at to make room for one
+MAX_EVICTION_CHECKS = 8  # connections checked to make room for one
 
 
 class ConnectionTable:
-    """Every connection, by phase in order of time, under one cap."""
+    """All client connections, within one limit; those of each phase are ordered by when it began."""
 
     def __init__(self, cap: int, clock: ReactorClock, counters: Counters) -> None:
         self._clock, self._counters = clock, counters
         self.connections: Slots[ClientConnection] = Slots(cap)
         self.phases: dict[Phase, dict[ClientConnection, None]] = {phase: {} for phase in Phase}
-        self.streaming: dict[ClientConnection, None] = {}  # answers are being passed on to these
+        self.streaming: dict[ClientConnection, None] = {}  # with an answer that is being streamed
         self.uploading: dict[
             ClientConnection, None
         ] = {}  # their requests are with the decisions before their end
         self._idle_reuse = IdleReuse(cap)
 
-    def enter(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
-        """A connection's phase begins, or begins ``anew``; None: it has ended."""
+    def set_phase(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
+        """Set a connection's phase, or restart it with ``anew``; None: the connection has ended."""
         if client.phase is phase and not anew:
             return
         now = self._clock.now()
@@ -51,57 +51,58 @@
             client.idle_period = self._idle_reuse.idle_began(client.address, now)
 
     @property
-    def taken(self) -> float:
-        """The share of the places that is in use, without those where no request was seen or none will be."""
+    def utilization(self) -> float:
+        """The used share of the limit, without connections that had no request yet or are closing."""
         used = sum(len(self.phases[phase]) for phase in (Phase.OPEN, Phase.RESTING, Phase.HEAD, Phase.BODY))
         return used / self.connections.capacity
 
     def worth_keeping(self, client: ClientConnection) -> bool:
-        """Whether a connection that has its answer is worth its place."""
-        return self._idle_reuse.worth_keeping(client.address, self.taken)
+        """Whether a connection that has its answer is likely enough to be used again."""
+        return self._idle_reuse.worth_keeping(client.address, self.utilization)
 
     def forget(self, client: ClientConnection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has ended."""
         self.connections.remove(client.handle)
-        self.enter(client, None)
+        self.set_phase(client, None)
         self.uploading.pop(client, None)
 
     def make_room(self) -> bool:
-        """Who has stood longest where nothing is expected any more goes; nothing here looks at them all.
+        """Close the connection that is least likely to be needed; False if there is none to close.
 
-        Danger: hundreds that connect and say nothing must not crowd out those who come back for more.
+        Closing ones go first, then silent ones, so that hundreds of clients that connect and send nothing do
+        not displace those that return. Only a few are checked, so the cost does not grow with their number.
         """
-        now, peeks = self._clock.now(), 0
+        now, checked = self._clock.now(), 0
         for phase in (Phase.CLOSING, Phase.SILENT, Phase.RESTING):
-            for client in list(islice(self.phases[phase], PEEKS)):
-                if now - client.since < phase.grace_ms or peeks >= PEEKS:
+            for client in list(islice(self.phases[phase], MAX_EVICTION_CHECKS)):
+                if now - client.since < phase.grace_ms or checked >= MAX_EVICTION_CHECKS:
                     break
                 if not client.connected:
-                    continue  # only being set up: it must not make room for itself
-                peeks += 1
-                if self._gives_way(client):
+                    continue  # still being set up: it must not make room for itself
+                checked += 1
+                if self._evict(client):
                     return True
         for phase in (Phase.HEAD, Phase.BODY):
-            # Of those who are sending a request, the one that has been still longest; who gets on stays.
-            still = min(self.phases[phase], key=lambda client: client.heard_at, default=None)
-            if still is not None and now - still.heard_at >= phase.grace_ms and self._gives_way(still):
+            # Of those that are sending a request, the one that has sent nothing for the longest time.
+            slowest = min(self.phases[phase], key=lambda client: client.last_read_at, default=None)
+            if slowest is not None and now - slowest.last_read_at >= phase.grace_ms and self._evict(slowest):
                 return True
         return False
 
-    def _gives_way(self, client: ClientConnection) -> bool:
-        if client.unread():
+    def _evict(self, client: ClientConnection) -> bool:
+        if client.has_unread():
             return False
-        client.make_way()
-        # Its socket is freed a turn later, out of the reserve; its place now, unless it had lost it before.
+        client.close_for_room()
+        # Its socket is freed one loop iteration later, which a reserve covers; its entry now, if it has one.
         freed = self.connections.remove(client.handle) is not None
         self._counters["made_room"] += freed
         return freed
 
     def close_idle(self, include_new: bool) -> None:
-        """Close what is between requests; ``unasked``: also who has not asked anything yet."""
+        """Close connections between requests; ``include_new``: also those without a request so far."""
         for phase in (Phase.RESTING, Phase.SILENT) if include_new else (Phase.RESTING,):
             for client in list(self.phases[phase]):
-                if not client.begun and not client.unread():
+                if not client.begun and not client.has_unread():
                     client.close()
 
     def gauges(self) -> dict[str, int]:
@@ -113,35 +114,39 @@
             **phases,
         }
 
-    def _end_rests(self, now: float) -> None:
-        """Close the rests whose place is worth more to others, the oldest first."""
+    def _close_resting(self, now: float) -> None:
+        """Close idle connections whose room is worth more to others, the oldest first."""
         resting = self.phases[Phase.RESTING]
         self._idle_reuse.refresh(
             [client.idle_period for client in resting if client.idle_period is not None], now
         )
         for client in list(resting):
-            if keep_threshold(taken := self.taken) <= 0.0:
+            if keep_threshold(used := self.utilization) <= 0.0:
                 break
             rest = client.idle_period
-            if rest is not None and self._idle_reuse.should_close(rest, taken, now) and not client.unread():
+            if (
+                rest is not None
+                and self._idle_reuse.should_close(rest, used, now)
+                and not client.has_unread()
+            ):
                 client.close()
                 self._counters["given_up_resting"] += 1
 
     def sweep(self, rests: bool) -> None:
-        """See off who stood too long; ``rests``: also who rests where the place is worth more to others."""
+        """Close overdue connections; ``rests``: also idle ones whose room is worth more to others."""
         now = self._clock.now()
         for phase, clients in self.phases.items():
             for client in list(islice(clients, 64)):
                 if now - client.since < phase.limit_ms:
                     break
-                if phase is Phase.CLOSING or not client.unread():
-                    client.leave(overdue=True)
+                if phase is Phase.CLOSING or not client.has_unread():
+                    client.evict(overdue=True)
         slow = [*self.phases[Phase.HEAD], *self.phases[Phase.BODY], *self.uploading]
         for client in slow:
-            if client.late(now) and not client.unread():
-                client.leave(overdue=True)
-        for client in [client for client in self.streaming if client.stuck(now)]:
+            if client.is_overdue(now) and not client.has_unread():
+                client.evict(overdue=True)
+        for client in [client for client in self.streaming if client.is_stuck(now)]:
             self._counters["answers_unread"] += 1
             client.abort()
         if rests:
-            self._end_rests(now)
+            self._close_resting(now)
--- a/lupinlink/net/clients/listener.py
+++ b/lupinlink/net/clients/listener.py
@@ -1,4 +1,4 @@
-"""The listener, and which connections of clients are taken and kept."""
+"""The listener for clients, which accepts connections and decides which ones are kept."""
 
 from __future__ import annotations
 
@@ -27,65 +27,64 @@
 from lupinlink.settings import Settings
 
 SWEEP_MS = 50.0
-HELD_SHARE = 0.25  # of the memory beyond the program's own: bodies on their way in, all together
-BACKLOG = 1024  # connections that the kernel's queue holds at most
-QUEUED_AT = 24  # Linux: tcpi_unacked in struct tcp_info; of a listener, the connections in its queue
-ACCEPTS = 16  # connections accepted a turn, where there is room for them
+BODY_MEMORY_SHARE = 0.25  # of the memory that the program itself does not use, for all request bodies
+BACKLOG = 1024  # capacity of the kernel's accept queue
+# Linux: tcpi_unacked in struct tcp_info, which for a listener is the length of its accept queue.
+TCPI_UNACKED_OFFSET = 24
+MAX_ACCEPTS = 16  # connections accepted in one event loop iteration
 
 
 def waiting(port: Port) -> bool:
-    """Whether connections wait in the kernel's queue of a listener, asked without waiting."""
+    """Whether a listener's accept queue in the kernel has connections; does not block."""
     return bool(select.select([port.fileno()], [], [], 0.0)[0])
 
 
 def queue_length(port: Port) -> int:
-    """How many connections wait in the kernel's queue of a listener; never fewer than there are."""
+    """The length of a listener's accept queue in the kernel; more than its capacity if it is unknown."""
     if not waiting(port):
         return 0
     try:
-        info = port.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, QUEUED_AT + 4)
-        return int(struct.unpack_from("I", info, QUEUED_AT)[0]) or BACKLOG + 1
+        info = port.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCPI_UNACKED_OFFSET + 4)
+        return int(struct.unpack_from("I", info, TCPI_UNACKED_OFFSET)[0]) or BACKLOG + 1
     except (OSError, struct.error):
         return BACKLOG + 1
 
 
 class Listener(TcpPort):
-    """The clients' address. A successor may hold the same socket, so its end here never shuts it down.
+    """The listening socket. A new process may share it, so closing it here never shuts it down.
 
-    Accepts no more connections a turn than there is room for, so that the cap stops it in time.
-
-    Twisted takes a whole burst in one turn; those beyond the cap would have to be closed unread, and
-    a request that was already written to one of them would be lost.
+    Accepts at most as many connections per event loop iteration as there is room for. Twisted would accept a
+    whole burst; the connections above the limit would be closed unread, and requests written to them lost.
     """
 
     _shouldShutdown = False  # noqa: N815
 
     @classmethod
     def on(cls, listening: socket.socket, clients: Clients, reactor: object) -> Listener:
-        """A listener on a socket that listens already."""
+        """A listener on a socket that is listening already."""
         made = cls._fromListeningDescriptor(  # type: ignore[no-untyped-call]
             reactor, listening.fileno(), listening.family, clients
         )
         return cast(Listener, made)
 
     def share(self) -> None:
-        """Where no socket can be handed over, a second process may bind the same address."""
+        """Allow a second process to bind the address, for systems that cannot hand over a socket."""
         self._reusePort = True
 
     def doRead(self) -> None:  # noqa: N802
         clients = cast(Clients, self.factory)
-        # Kept here: Twisted sets its own figure anew while it reads, to what it has just accepted.
-        most = self.numberAccepts = max(1, min(ACCEPTS, clients.room))
+        # In a variable: while reading, Twisted sets numberAccepts to the number that it has accepted.
+        most = self.numberAccepts = max(1, min(MAX_ACCEPTS, clients.room))
         before = clients.counters["clients"]
         super().doRead()  # type: ignore[no-untyped-call]
         if clients.accept_queue.since is None:
             return
         if clients.counters["clients"] - before < most or not waiting(self):
-            clients.watched()  # the kernel's queue is empty: what comes from now on is read as it comes
+            clients.accept_queue_emptied()  # the accept queue is empty
 
 
 class Clients(ServerFactory):
-    """The listener: it holds every connection of clients under one cap."""
+    """The factory and owner of all client connections, with one limit on their number."""
 
     noisy = False
 
@@ -103,114 +102,114 @@
         self.proxy, self.clock, self.counters = proxy, clock, counters
         self._discovery_client, self._lifecycle = discovery_client, lifecycle
         self.port: Port | None = None
-        self.accept_paused = False  # full of busy connections: the listener is not read
+        self.accept_paused = False  # all connections are busy: none is accepted
         self.accept_queue = QueueWait()
-        self.budget = BodyBudget(0)  # for all bodies on their way in
+        self.budget = BodyBudget(0)  # for all request bodies
         self.read = RequestReader(settings, self.budget).read
-        places = self._places = ConnectionTable(cap, clock, counters)
-        self.connections, self.phases, self.enter = places.connections, places.phases, places.enter
-        self.streaming, self.uploading = places.streaming, places.uploading
+        table = self._table = ConnectionTable(cap, clock, counters)
+        self.connections, self.phases, self.set_phase = table.connections, table.phases, table.set_phase
+        self.streaming, self.uploading = table.streaming, table.uploading
         self.resize(cap, spare_mb)
         clock.after(SWEEP_MS, self._sweep)
 
     @property
     def ready(self) -> bool:
-        """Whether a front should send clients here."""
+        """Whether a load balancer should send clients here."""
         return self._lifecycle.up(self._discovery_client.ready)
 
     @property
     def room(self) -> int:
-        """How many more connections the cap allows."""
+        """How many more connections the limit allows."""
         return self.connections.capacity - len(self.connections)
 
     def keeps(self, client: ClientConnection) -> bool:
-        """Whether a connection that has its answer stays.
+        """Whether a connection is kept open after its answer.
 
-        While others wait in the kernel's queue, a kept connection would leave them there for good.
+        Not while others wait in the accept queue: kept connections could leave them there for good.
         """
         if not self._lifecycle.keeps_connections() or self.accept_paused:
             return False
-        stays = self._places.worth_keeping(client)
+        stays = self._table.worth_keeping(client)
         self.counters["given_up_answered"] += not stays
         return stays
 
     def buildProtocol(self, addr: object) -> Http1ClientConnection | None:
-        if self.connections.full and not self._places.make_room():
+        if self.connections.full and not self._table.make_room():
             self.counters["connections_over_cap"] += 1
             return None
         client = Http1ClientConnection(self)
         client.address = getattr(addr, "host", "")
-        client.held_ms = self.accept_queue.waited_ms(self.clock.now())
+        client.waited_ms = self.accept_queue.waited_ms(self.clock.now())
         self.accept_queue.accepted()
         client.handle = self.connections.add(client)
-        self.enter(client, Phase.SILENT)
+        self.set_phase(client, Phase.SILENT)
         self.counters["clients"] += 1
-        if self.connections.full and not self._places.make_room():
-            # The rest waits in the kernel's queue until there is room, instead of being turned away.
+        if self.connections.full and not self._table.make_room():
+            # Further connections wait in the accept queue until there is room, instead of being closed.
             self.accept_paused = True
             self.listen()
         return client
 
     def lost(self, client: ClientConnection) -> None:
-        """A connection has ended."""
-        self._places.forget(client)
-        self._uncrowd()
+        """Note that a connection has ended."""
+        self._table.forget(client)
+        self._resume_accepting()
 
-    def _uncrowd(self) -> None:
+    def _resume_accepting(self) -> None:
         if self.accept_paused and not self.connections.full:
             self.accept_paused = False
             self.listen()
 
     def listen(self) -> None:
-        """Read the listener or leave it, as the service's state and the room here have it."""
+        """Start or stop accepting, depending on the lifecycle and on whether there is room."""
         if self.port is not None:
             if self._lifecycle.accepts() and not self.accept_paused:
                 self.port.startReading()
                 if self.accept_queue.since is not None:
-                    self._look_at_queue()
+                    self._observe_queue()
                     if not waiting(self.port):
-                        self.accept_queue.ended()  # nobody queued meanwhile
+                        self.accept_queue.emptied()
             else:
                 self.port.stopReading()
                 if self.accept_queue.since is None:
                     self.accept_queue.reading_stopped(self.clock.now())
 
-    def _look_at_queue(self) -> None:
+    def _observe_queue(self) -> None:
         if self.port is not None and self.accept_queue.since is not None:
-            self.accept_queue.looked(self.clock.now(), queue_length(self.port))
+            self.accept_queue.observed(self.clock.now(), queue_length(self.port))
 
-    def watched(self) -> None:
-        """The listener has been read empty: connections from now on are taken as they come."""
+    def accept_queue_emptied(self) -> None:
+        """Note that the accept queue is empty: from now on connections are accepted as they arrive."""
         if self.port is not None and self._lifecycle.accepts() and not self.accept_paused:
-            self.accept_queue.ended()
+            self.accept_queue.emptied()
 
     def resize(self, cap: int, spare_mb: float) -> None:
-        """Have room for so many connections; whoever is beyond it stays until it goes."""
+        """Change the limit on connections; existing ones above it stay until they end."""
         self.connections.capacity = cap
-        self.budget.limit_bytes = max(2 * http1.MAX_BODY, int(spare_mb * HELD_SHARE * 1024.0 * 1024.0))
+        self.budget.limit_bytes = max(2 * http1.MAX_BODY, int(spare_mb * BODY_MEMORY_SHARE * 1024.0 * 1024.0))
         self.accept_paused = self.connections.full
         self.listen()
 
     @property
     def queued(self) -> bool:
-        """Whether connections wait in the kernel's queue that this process is to take."""
+        """Whether the accept queue has connections that this process is to accept."""
         return self.port is not None and self._lifecycle.accepts() and waiting(self.port)
 
     def close_idle(self, include_new: bool) -> None:
-        """Close what is between requests; ``unasked``: also who has not asked anything yet."""
-        self._places.close_idle(include_new)
+        """Close connections between requests; ``include_new``: also those without a request so far."""
+        self._table.close_idle(include_new)
 
     def gauges(self) -> dict[str, int]:
         """The size of every table here."""
-        return {**self._places.gauges(), "bytes_held": self.budget.held_bytes}
+        return {**self._table.gauges(), "bytes_held": self.budget.held_bytes}
 
     def _sweep(self) -> None:
         if self._lifecycle.accepts():
-            # Danger: a crowd that keeps the listener from being read to its end would have all new clients
-            # taken for held ones, and turned away, for as long.
-            self._look_at_queue()
-        # Without a listener nobody wants a place here, and a close may cross a request.
-        self._places.sweep(rests=self._lifecycle.accepts())
-        if self.accept_paused and self._places.make_room():
-            self._uncrowd()
+            # Without it, while a burst keeps the accept queue from being emptied, all new clients would count
+            # as having waited for an unknown time, and be refused.
+            self._observe_queue()
+        # While nothing is accepted no other client needs the room, and a close may cross a request.
+        self._table.sweep(rests=self._lifecycle.accepts())
+        if self.accept_paused and self._table.make_room():
+            self._resume_accepting()
         self.clock.after(SWEEP_MS, self._sweep)
--- a/lupinlink/net/clients/request_reader.py
+++ b/lupinlink/net/clients/request_reader.py
@@ -1,4 +1,4 @@
-"""A request's head in the terms of the decisions. No I/O."""
+"""Validates the head of a client's request and turns it into a ClientRequest. No I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from lupinlink.net.request_types import ClientRequest
 from lupinlink.settings import Effect, Settings
 
-PASSED = {"x-trace-id", "idempotency-key"}
+ALWAYS_FORWARDED = {"x-trace-id", "idempotency-key"}
 
 
 class RequestReader:
-    """Knows the classes and tenants by name."""
+    """Reads requests, with the classes and tenants of the settings."""
 
     def __init__(self, settings: Settings, budget: BodyBudget) -> None:
         self._settings, self._budget = settings, budget
@@ -19,7 +19,7 @@
         self._tenants = {t.name: i for i, t in enumerate(settings.tenants)}
 
     def read(self, message: http1.Message, path: str) -> ClientRequest:
-        """A request in the terms of the decisions; raises MessageError for what cannot be put so."""
+        """The request with this head, without its body; raises MessageError if it is not valid."""
         if message.method not in ("GET", "HEAD", "POST"):
             raise http1.MessageError(405, "method not allowed")
         parts = path.split("/")
@@ -27,7 +27,7 @@
         if index is None:
             raise http1.MessageError(404, "unknown class")
         cls = self._settings.classes[index]
-        # Given twice, an id says nothing: application servers may take either, and drop no repeat by it.
+        # An id that is given twice is useless: application servers may take either for finding duplicates.
         trace, key = message.get("x-trace-id"), message.get("idempotency-key")
         if not trace or "," in trace:
             raise http1.MessageError(400, "no X-Trace-Id")
@@ -39,8 +39,8 @@
             if not text.isascii() or not text.isdigit() or len(text) > 9 or int(text) == 0:
                 raise http1.MessageError(400, "malformed X-Expires-In-Ms")
             expires = min(float(text), expires)
-        # A connection's own headers, and what it names as such, end here; the two ids always pass.
-        own = (http1.HOP_BY_HOP | message.options()) - PASSED
+        # Hop-by-hop headers, and those that Connection names, are not forwarded; the two ids always are.
+        own = (http1.HOP_BY_HOP | message.options()) - ALWAYS_FORWARDED
         return ClientRequest(
             trace,
             index,
--- a/lupinlink/net/clients/requests.py
+++ b/lupinlink/net/clients/requests.py
@@ -1,4 +1,4 @@
-"""Requests as a client sends them: one at a time, its body whole or as it comes, to the decisions."""
+"""Receives the requests of a client over HTTP/1.1 and submits them to the proxy, one at a time."""
 
 from __future__ import annotations
 
@@ -15,71 +15,72 @@
 from lupinlink.net.request_types import ClientRequest, FailureReason
 
 log = logging.getLogger("lupinlink.net.clients")
-SENT_AHEAD = 8 * 1024  # bytes of further requests that may wait behind one: clients send one at a time
-# Bytes read and dropped for the sake of a client that writes before it reads.
-DISCARDED = 2 * http1.MAX_MESSAGE
+MAX_PIPELINED_BYTES = 8 * 1024  # of further requests behind the open one; clients send one at a time
+# Read and discarded of a connection that is closing, for clients that write everything before they read.
+MAX_DISCARDED_BYTES = 2 * http1.MAX_MESSAGE
 TOO_MANY = "too many requests sent ahead"
 
 
 class Http1ClientConnection(RespondingConnection):
-    """One connection of a client; one request at a time."""
+    """One HTTP/1.1 connection of a client; handles one request at a time."""
 
     def __init__(self, clients: ConnectionOwner) -> None:
         super().__init__(clients)
-        self._advancing = self._overrun = False
+        self._advancing = self._sent_too_much = False
         self._discarded = 0
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard_at = self._clients.clock.now()
-        if self._deaf or self._overrun:
+        self.last_read_at = self._clients.clock.now()
+        if self._closing or self._sent_too_much:
             self._discard(len(data))
             return
         self._parser.feed(data)
         self._advance()
 
     def _discard(self, count: int) -> None:
-        """What comes behind a last answer, or too far ahead of one, is of no use; its sender's end is.
+        """Discard data that follows the last answer, or too many pipelined requests.
 
-        Danger: left unread, a client that has gone would keep its request here, to be sent on for nobody.
+        It is still read up to a limit: otherwise the close of a client would go unnoticed, and its open
+        request would be sent on for nobody.
         """
         self._discarded += count
-        if self._discarded <= DISCARDED:
+        if self._discarded <= MAX_DISCARDED_BYTES:
             return
-        if self._overrun and not self._deaf and self._flow is None:
+        if self._sent_too_much and not self._closing and self._stream is None:
             self._discarded = 0
             self.reject(400, TOO_MANY)  # this ends the request that is open, too
         else:
             self.transport.pauseProducing()
 
     def connectionLost(self, reason: Reason = connectionDone) -> None:
-        self._deaf = True
+        self._closing = True
         self._clients.lost(self)
-        self._drop_all()
+        self._release_all()
 
-    def _drop_all(self) -> None:
-        """Nothing more is taken or passed on here."""
-        intake, self._intake = self._intake, None
+    def _release_all(self) -> None:
+        """Drop the open request, its body and its streamed answer."""
+        incoming, self._incoming = self._incoming, None
         request, self._request = self._request, None
-        flow, self._flow = self._flow, None
+        stream, self._stream = self._stream, None
         self._clients.streaming.pop(self, None)
         self._clients.uploading.pop(self, None)
         owed, self._waiting = self._waiting, False
         if owed and request is not None:
             self._clients.proxy.client_left(request)
-        if intake is not None:
-            intake.call.body.abort()
-            intake.call.body.discard()
-        if flow is not None:
-            flow.stop()
+        if incoming is not None:
+            incoming.call.body.abort()
+            incoming.call.body.discard()
+        if stream is not None:
+            stream.stop()
 
     def bytes_to_go(self) -> tuple[int, int]:
-        """Bytes still to go of a long answer or of a body that comes, and how many of both do not tell."""
+        """The bytes left of the streamed answer and the request body, and how many of them lack a length."""
         told, untold = 0, 0
-        if self._flow is not None and self._flow.length is not None:
-            told = max(0, self._flow.length - self._flow.sent_bytes) + int(self._still_to_read())
-        elif self._flow is not None:
+        if self._stream is not None and self._stream.length is not None:
+            told = max(0, self._stream.length - self._stream.sent_bytes) + int(self._unread_by_client())
+        elif self._stream is not None:
             untold = 1
-        body = self._intake.call.body if self._intake is not None else None
+        body = self._incoming.call.body if self._incoming is not None else None
         if body is not None and body.length is not None:
             told += max(0, body.length - body.end)
         elif body is not None:
@@ -87,26 +88,28 @@
         return told, untold
 
     def _advance(self) -> None:
-        """Take the next request if none is open; calls from within leave the work to the outer one."""
+        """Take the next request if none is open; a nested call leaves that to the outer one."""
         if self._advancing:
             return
         self._advancing = True
         try:
-            while not self._deaf and (self._intake is not None or not (self._waiting or self._not_reading)):
+            while not self._closing and (
+                self._incoming is not None or not (self._waiting or self._not_reading)
+            ):
                 message = self._parser.next()
-                ahead = message is not None and len(self._parser.buffer) > SENT_AHEAD
-                if self._overrun or ahead:
+                ahead = message is not None and len(self._parser.buffer) > MAX_PIPELINED_BYTES
+                if self._sent_too_much or ahead:
                     raise http1.MessageError(400, TOO_MANY)
                 if message is None:
                     if self._parser.head is not None:
-                        self._receive(self._parser.head)
+                        self._receive_body(self._parser.head)
                     break
-                self.asked = True
-                self._clients.enter(self, Phase.OPEN, anew=self._intake is None)
-                if self._intake is None:
+                self.has_requested = True
+                self._clients.set_phase(self, Phase.OPEN, anew=self._incoming is None)
+                if self._incoming is None:
                     self._take(message)
                 else:
-                    self._received(self._intake, message.body)
+                    self._body_complete(self._incoming, message.body)
         except http1.MessageError as exc:
             self.reject(exc.status, str(exc))
         except Exception:
@@ -115,19 +118,19 @@
             self.reject(500, FailureReason.INTERNAL.value)
         finally:
             self._advancing = False
-        if self._deaf:
+        if self._closing:
             return
         if not self._waiting:
-            # Counted from the first byte: a peer that drips bytes must not hold its connection for ever.
-            begun = Phase.HEAD if self._intake is None else Phase.BODY
-            rests = Phase.RESTING if self.asked else Phase.SILENT
-            self._clients.enter(self, begun if self._parser.started() else rests)
-        if self._intake is None and (self._waiting or self._not_reading):
-            # It is told so once the request that is open has its answer; nothing that it sends is taken.
-            self._overrun = self._overrun or len(self._parser.buffer) > SENT_AHEAD
+            # Timed from the first byte, so that a client cannot keep it by sending a byte now and then.
+            begun = Phase.HEAD if self._incoming is None else Phase.BODY
+            rests = Phase.RESTING if self.has_requested else Phase.SILENT
+            self._clients.set_phase(self, begun if self._parser.started() else rests)
+        if self._incoming is None and (self._waiting or self._not_reading):
+            # Rejected once the open request is answered; nothing more that the client sends is used.
+            self._sent_too_much = self._sent_too_much or len(self._parser.buffer) > MAX_PIPELINED_BYTES
 
     def _take(self, message: http1.Message) -> None:
-        self._know(message)
+        self._note_head(message)
         path = message.target.partition("?")[0]
         if path == "/up" and message.method in ("GET", "HEAD"):
             ready = self._clients.ready
@@ -137,25 +140,25 @@
         call = self._read(message, path)
         call.body.add(message.body)
         call.body.finish()
-        self._give(call)
+        self._submit(call)
 
     def _read(self, message: http1.Message, path: str) -> ClientRequest:
-        """The call, with how long it may have waited unread: only the first of a connection can have."""
+        """The request, with how long it may have waited; only the first one of a connection can have."""
         call = self._clients.read(message, path)
         call.address = self.address
-        call.waited_ms, self.held_ms = self.held_ms, 0.0
+        call.waited_ms, self.waited_ms = self.waited_ms, 0.0
         return call
 
-    def _know(self, head: http1.Message) -> None:
-        # An older client takes an answer for ended only when the connection is.
-        self._keep = head.version == 1 and head.keeps_open()
-        self._minor, self._only_head = head.version, head.method == "HEAD"
+    def _note_head(self, head: http1.Message) -> None:
+        # An HTTP/1.0 client may rely on the close of the connection to find the end of its answer.
+        self._keep_open = head.version == 1 and head.keeps_open()
+        self._minor, self._head_request = head.version, head.method == "HEAD"
 
-    def _give(self, call: ClientRequest) -> None:
-        """To the decisions, unless its client has closed already: for nobody, nothing is sent on."""
+    def _submit(self, call: ClientRequest) -> None:
+        """Submit a request to the proxy, unless its client has closed the connection already."""
         if call.body.complete and self.has_left():
             self._clients.counters["left_unheard"] += 1
-            self._deaf = True  # its end is read next
+            self._closing = True  # the close is read next
             call.body.discard()
             return
         self._waiting, self._request = True, None
@@ -165,49 +168,49 @@
         else:
             call.body.discard()
 
-    def _receive(self, head: http1.Message) -> None:
-        """A head is here, and a body that is not whole yet."""
+    def _receive_body(self, head: http1.Message) -> None:
+        """Receive part of a body; submits the request once the body is too large to be buffered whole."""
         now = self._clients.clock.now()
-        intake = self._intake
-        if intake is None:
-            self._know(head)
+        incoming = self._incoming
+        if incoming is None:
+            self._note_head(head)
             call = self._read(head, head.target.partition("?")[0])
             call.body.length = self._parser.length
-            intake = self._intake = IncomingRequest(call, BodyProgress(now))
-            call.body.on_room = lambda: self._go_on(intake)
+            incoming = self._incoming = IncomingRequest(call, BodyProgress(now))
+            call.body.on_room = lambda: self._resume_body(incoming)
             if (head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        body, data = intake.call.body, self._parser.take_body()
+        body, data = incoming.call.body, self._parser.take_body()
         if data:
-            intake.progress.received(len(data), now)
+            incoming.progress.received(len(data), now)
             body.add(data)
         if not self._waiting:
             if self._clients.budget.exceeded:
                 raise http1.MessageError(503, "no room for this request now")
             if body.is_large:
                 self._clients.counters["bodies_flowing"] += 1
-                self.asked = True
-                self._clients.enter(self, Phase.OPEN)
+                self.has_requested = True
+                self._clients.set_phase(self, Phase.OPEN)
                 self._clients.uploading[self] = None
-                self._give(intake.call)
-        if body.full and self._intake is not None:
-            intake.progress.pause(now)
-            self._read_on("body", False)
-
-    def _go_on(self, intake: IncomingRequest) -> None:
-        """There is room for more of the body."""
-        if self._intake is intake:
-            intake.progress.resume(self._clients.clock.now())
-            self._read_on("body", True)
-
-    def _received(self, intake: IncomingRequest, data: bytes) -> None:
-        """The last byte of a body is here."""
-        self._intake = None
+                self._submit(incoming.call)
+        if body.full and self._incoming is not None:
+            incoming.progress.pause(now)
+            self._set_reading("body", False)
+
+    def _resume_body(self, incoming: IncomingRequest) -> None:
+        """Read on, as the body's buffer has room again."""
+        if self._incoming is incoming:
+            incoming.progress.resume(self._clients.clock.now())
+            self._set_reading("body", True)
+
+    def _body_complete(self, incoming: IncomingRequest, data: bytes) -> None:
+        """Complete a body with its last bytes."""
+        self._incoming = None
         self._clients.uploading.pop(self, None)
-        self._read_on("body", True)
-        intake.call.body.add(data)
-        intake.call.body.finish()
+        self._set_reading("body", True)
+        incoming.call.body.add(data)
+        incoming.call.body.finish()
         if not self._waiting:
-            self._give(intake.call)
+            self._submit(incoming.call)
         elif self._request is not None:
             self._clients.proxy.body_completed(self._request)
--- a/lupinlink/net/clients/responses.py
+++ b/lupinlink/net/clients/responses.py
@@ -1,4 +1,4 @@
-"""Answers on their way to a client: whole, or passed on as they come; and whether it stays after one."""
+"""Sends answers to a client, whole or streamed, and closes or keeps its connection afterwards."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 from lupinlink.net.clients.connection import ClientConnection, ConnectionOwner
 from lupinlink.net.request_types import FailureReason, Reply
 
-FLOW_SEND_BYTES = 128 * 1024  # of such an answer in the kernel: beyond it nobody could tell who does not read
-STATUS = {
+# The kernel's buffer for a streamed answer: with a larger one, a client that does not read goes unnoticed.
+SEND_BUFFER_BYTES = 128 * 1024
+STATUS_OF_FAILURE = {
     FailureReason.NOT_SERVED: 502,
     FailureReason.TOO_LATE: 504,
     FailureReason.INTERNAL: 500,
@@ -24,21 +25,21 @@
 
 @implementer(IPushProducer)
 class RespondingConnection(ClientConnection):
-    """ClientSide of the proxy: takes the one answer of the request that is open.
+    """The Responder of the request that is open on this connection.
 
-    As a push producer it takes no further request while its answers are not read: a silent peer must
-    not fill the memory.
+    As a push producer it takes no further request while the client does not read its answers, which would
+    otherwise fill the memory.
     """
 
     def __init__(self, clients: ConnectionOwner) -> None:
         super().__init__(clients)
         self._request: int | None = None  # the handle of the request that is open
-        self._waiting = False  # an answer is owed, or on its way
-        self._flow: ResponseStream | None = None  # the answer that is being passed on
-        self._chunked = False  # in what form
-        self._keep = True  # the client means the connection to stay
-        self._minor = 1  # the version of HTTP/1 that it speaks
-        self._only_head = False  # of the answer is asked for
+        self._waiting = False  # a request is not answered yet, or its answer is being streamed
+        self._stream: ResponseStream | None = None  # the answer that is being streamed
+        self._chunked = False  # whether it is sent in chunks
+        self._keep_open = True  # whether the client wants the connection to be kept open
+        self._minor = 1  # of HTTP/1, as the client speaks it
+        self._head_request = False  # it asked for an answer without its body
 
     def _advance(self) -> None:
         """Take the next request if none is open."""
@@ -46,13 +47,13 @@
 
     def pauseProducing(self) -> None:
         self._not_reading, self.not_reading_since = True, self._clients.clock.now()
-        if self._flow is not None:
-            self._flow.pause()
+        if self._stream is not None:
+            self._stream.pause()
 
     def resumeProducing(self) -> None:
         self._not_reading = False
-        if self._flow is not None:
-            self._flow.resume()
+        if self._stream is not None:
+            self._stream.resume()
         else:
             self._advance()
 
@@ -60,8 +61,8 @@
         pass  # connectionLost follows
 
     def served(self, reply: Reply) -> None:
-        if reply.flow is not None:
-            self._pass_on(reply, reply.flow)
+        if reply.stream is not None:
+            self._start_stream(reply, reply.stream)
         else:
             self._answer(200, reply.headers, reply.body, reply.length)
 
@@ -70,7 +71,7 @@
         self._answer(429 if over_quota else 503, after)
 
     def failed(self, why: FailureReason) -> None:
-        self._answer(STATUS[why], [("Content-Type", "text/plain")], f"{why.value}\n".encode())
+        self._answer(STATUS_OF_FAILURE[why], [("Content-Type", "text/plain")], f"{why.value}\n".encode())
 
     def _answer(
         self, status: int, headers: list[tuple[str, str]], body: bytes = b"", length: int | None = None
@@ -79,9 +80,9 @@
             return
         self._waiting, self._request = False, None
         self._clients.counters[f"answers_{status}"] += 1
-        uploading = self._intake is not None
-        stay = self._keep and not uploading and self._clients.keeps(self)
-        if self._only_head:
+        uploading = self._incoming is not None
+        stay = self._keep_open and not uploading and self._clients.keeps(self)
+        if self._head_request:
             self.transport.write(http1.response_head(status, headers, length, close=not stay))
         else:
             self.transport.write(http1.response(status, headers, body, close=not stay))
@@ -90,37 +91,37 @@
         else:
             self.close()
 
-    def _pass_on(self, reply: Reply, flow: ResponseStream) -> None:
-        """Pass an answer on as it comes; whether its connection stays is told in its head."""
+    def _start_stream(self, reply: Reply, stream: ResponseStream) -> None:
+        """Start to stream an answer; its head says whether the connection is kept open."""
         if not self._waiting:
-            flow.stop()
+            stream.stop()
             return
         self._request = None
         self._clients.counters["answers_200"] += 1
         self._clients.streaming[self] = None
-        length = flow.length if flow.length is not None else http1.CHUNKED if self._minor else None
+        length = stream.length if stream.length is not None else http1.CHUNKED if self._minor else None
         self._chunked = length == http1.CHUNKED
-        self._keep = self._keep and length is not None and self._clients.keeps(self)
-        self._flow = flow
-        flow.on_data, flow.on_end, flow.on_error = self._flow_data, self._flow_ended, self.abort
+        self._keep_open = self._keep_open and length is not None and self._clients.keeps(self)
+        self._stream = stream
+        stream.on_data, stream.on_end, stream.on_error = self._stream_data, self._stream_ended, self.abort
         with suppress(OSError, AttributeError):
-            self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, FLOW_SEND_BYTES)
-        self.transport.write(http1.response_head(200, reply.headers, length, close=not self._keep))
-        self._flow_data(reply.body)
+            self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        self.transport.write(http1.response_head(200, reply.headers, length, close=not self._keep_open))
+        self._stream_data(reply.body)
 
-    def _flow_data(self, data: bytes) -> None:
-        if data and self._flow is not None:
-            self._flow.sent_bytes += len(data)
+    def _stream_data(self, data: bytes) -> None:
+        if data and self._stream is not None:
+            self._stream.sent_bytes += len(data)
             self.transport.write(http1.chunk(data) if self._chunked else data)
 
-    def _flow_ended(self) -> None:
-        if self._flow is None:
+    def _stream_ended(self) -> None:
+        if self._stream is None:
             return
         if self._chunked:
             self.transport.write(http1.LAST_CHUNK)
-        self._flow, self._waiting = None, False
+        self._stream, self._waiting = None, False
         self._clients.streaming.pop(self, None)
-        if self._keep:
+        if self._keep_open:
             self._advance()
         else:
             self.close()
--- a/lupinlink/net/drain_reasons.py
+++ b/lupinlink/net/drain_reasons.py
@@ -1,7 +1,7 @@
-"""Who wants this proxy out of service: it is in service only while nobody does. Pure.
+"""The reasons for which this proxy is drained; it is in service only while there is none. Performs no I/O.
 
-Danger: an operator, a release and a migration may each want the same proxy out. If one of them took it back
-for all, clients would come to a proxy that is about to end, or that does not own their listener.
+An operator, a release and a migration may each drain the same proxy. If one of them put it back into service
+for all, clients would come to a proxy that is about to exit, or that does not own their listener.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class DrainReasons:
-    """The wishes; each call may come at any time, and twice."""
+    """The reasons, by who holds them. All calls may be repeated, in any order."""
 
     def __init__(self, drain: Callable[[], None], in_service: Callable[[], bool]) -> None:
         self._drain, self._in_service = drain, in_service
         self._out: set[str] = set()
 
     def want(self, who: str, out: bool) -> bool:
-        """Say what ``who`` wants from now on. False: it cannot be in service, for it is stopping."""
+        """Set whether ``who`` wants it out. False: it could not return to service, as it is stopping."""
         had = bool(self._out)
         if out:
             self._out.add(who)
@@ -28,9 +28,9 @@
         return self._in_service() if had and not self._out else True
 
     def wants(self, who: str) -> bool:
-        """Whether ``who`` wants it out."""
+        """Whether ``who`` wants it out of service."""
         return who in self._out
 
     def only(self, who: str) -> bool:
-        """Whether ``who``, and nobody else, wants it out."""
+        """Whether ``who`` and nobody else wants it out of service."""
         return self._out == {who}
--- a/lupinlink/net/http1.py
+++ b/lupinlink/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: incremental parsers, and the writers under one name. No I/O here."""
+"""HTTP/1.1: incremental parsers for requests and responses; re-exports the writers. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 MAX_HEAD = 16 * 1024
 MAX_BODY = 64 * 1024
 MAX_HEADERS = 100
-MAX_CHUNK_LINE = 4096  # a chunk's size with its extensions, or a line of a trailer
-MAX_MESSAGE = 32 * 1024 * 1024  # of a body that is passed on as it comes
+MAX_CHUNK_LINE = 4096  # a chunk size with its extensions, or a trailer line
+MAX_MESSAGE = 32 * 1024 * 1024  # body of a message that is streamed
 
 TOKEN = r"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-# A proxy's clients may name the whole address; what it says before the path is of no use here.
+# Clients of a proxy may send the target in absolute form; only its path and query are used.
 REQUEST_LINE = re.compile(rf"({TOKEN}) (?:[Hh][Tt][Tt][Pp]://[^/?# ]+)?(/[\x21-\x7e]*) HTTP/1\.([01])")
 STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00-\x08\x0a-\x1f\x7f]*)?")
 HEADER = re.compile(rf"({TOKEN}):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*")
@@ -32,35 +32,37 @@
 
 
 class Parser:
-    """Bytes in, whole messages out, one at a time.
+    """Is fed bytes and returns complete messages, one at a time.
 
-    ``max_held``: of a body in here; ``max_body``: of a body in all, where ``drain`` takes it as it comes.
+    ``max_held``: bytes of a body that are buffered; ``max_body``: of a whole body, if ``take_body`` is used.
     """
 
     def __init__(self, max_held: int = MAX_BODY, max_body: int | None = None) -> None:
         self.buffer = bytearray()
-        self.head: Message | None = None  # the message that is being read
+        self.head: Message | None = None  # of the message that is being parsed
         self.body_received = 0  # bytes of its body so far
-        self.length: int | None = None  # of its body, as told; None: it shows at its end
+        self.length: int | None = None  # of its body, as declared; None: unknown until its end
         self._max_held, self._max_body = max_held, max_held if max_body is None else max_body
         self._body = bytearray()
         self._trailer = 0
         self._chunked = False
-        self._chunk = -1  # bytes left of this chunk; -1: a size line, -2: trailers
+        self._chunk = (
+            -1
+        )  # bytes left of this chunk; next is: a size line (-1), trailers (-2), the chunk's CRLF (-3)
 
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
     def started(self) -> bool:
-        """Whether a part of a message is here."""
+        """Whether part of a message has been received."""
         return self.head is not None or bool(self.buffer)
 
     def size(self) -> int:
-        """Bytes that are kept here."""
+        """Bytes buffered here."""
         return len(self.buffer) + len(self._body)
 
     def next(self) -> Message | None:
-        """The next whole message, if all its bytes are here."""
+        """The next complete message, None if more bytes are needed. Raises MessageError."""
         if self.head is None and not self._read_head():
             return None
         if self._chunked:
@@ -74,13 +76,13 @@
         return self._done() if whole else None
 
     def take_body(self) -> bytes:
-        """The body since the last call, for one that is read as it comes."""
+        """The bytes of the body since the last call, for bodies that are streamed."""
         data = bytes(self._body)
         self._body.clear()
         return data
 
     def eof(self) -> Message | None:
-        """The connection has ended; a body without a length is whole now."""
+        """The connection was closed; returns the message if the close completes it."""
         ended = self.head is not None and self.length is None and not self._chunked
         return self._done() if ended else None
 
@@ -88,11 +90,11 @@
         raise NotImplementedError
 
     def default_body_length(self, message: Message) -> int | None:
-        """The body's length where no header tells it."""
+        """The body's length if no header declares it; None: until the connection is closed."""
         raise NotImplementedError
 
     def has_no_body(self, message: Message) -> bool:
-        """Whether no body follows, whatever its headers say."""
+        """Whether the message has no body, whatever its headers say."""
         return False
 
     def _done(self) -> Message:
@@ -105,7 +107,7 @@
 
     @property
     def unfinished(self) -> bool:
-        """Whether bytes of a head, of a chunk or of its size are here, and the rest is still to come."""
+        """Whether a head, a chunk or a chunk's size is only partly received."""
         return bool(self.buffer) or (self._chunked and self._chunk != -1)
 
     def _keep(self, count: int) -> None:
@@ -150,7 +152,7 @@
         self._chunked, self._chunk, self._trailer = False, -1, 0
         self.body_received, self.length = 0, None
         if coding is not None:
-            # Two framings in one message let requests be smuggled past a proxy.
+            # Two framings in one message would allow request smuggling.
             if length is not None or coding.strip().lower() != "chunked":
                 raise MessageError(400, "unknown framing")
             self._chunked = True
@@ -175,7 +177,7 @@
                 self._chunk -= count
                 if self._chunk:
                     return False
-                self._chunk = -3  # the line end behind the chunk
+                self._chunk = -3
             line = self._line()
             if line is None:
                 return False
@@ -209,7 +211,7 @@
 
 
 class RequestParser(Parser):
-    """Reads what a client sends."""
+    """Parses the requests of a client."""
 
     def start_line(self, line: str) -> Message:
         match = REQUEST_LINE.fullmatch(line)
@@ -223,7 +225,7 @@
 
 
 class ResponseParser(Parser):
-    """Reads what an application server or discovery answers."""
+    """Parses the answers of an application server or of discovery."""
 
     def start_line(self, line: str) -> Message:
         match = STATUS_LINE.fullmatch(line)
@@ -231,7 +233,7 @@
             raise MessageError(502, "malformed status line")
         return Message(int(match.group(1)), [], status=int(match.group(2)))
 
-    for_head_request = False  # set before the answer to a HEAD comes
+    for_head_request = False  # set by the caller before the answer to a HEAD request is parsed
 
     def default_body_length(self, message: Message) -> int | None:
         return 0 if self.has_no_body(message) else None
--- a/lupinlink/net/http1_messages.py
+++ b/lupinlink/net/http1_messages.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 messages as they are read, and the error for bytes that are none."""
+"""Parsed HTTP/1.1 messages, and the error for invalid ones."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# A connection's own headers, which end here, and what a proxy writes itself.
+# Headers of a single connection, which are not forwarded, and those that the proxy writes itself.
 HOP_BY_HOP = frozenset(
     "connection keep-alive proxy-connection te trailer transfer-encoding upgrade content-length"
     " expect".split()
@@ -12,7 +12,7 @@
 
 
 class MessageError(Exception):
-    """Bytes that are no message; ``status`` is what a client is told."""
+    """Bytes that are not a valid message; ``status`` is the HTTP status for the sender."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or an answer; header names keep their letters, look-ups don't mind them."""
+    """A request or an answer. Header names keep their case; look-ups use lower case."""
 
     version: int  # minor
     headers: list[tuple[str, str]]
@@ -36,10 +36,10 @@
         return self.lookup.get(name)
 
     def options(self) -> set[str]:
-        """What the Connection header names."""
+        """The options that the Connection header lists, in lower case."""
         return {o.strip().lower() for o in self.lookup.get("connection", "").split(",")}
 
     def keeps_open(self) -> bool:
-        """Whether the other side means the connection to stay."""
+        """Whether the sender wants the connection to be kept open."""
         options = self.options()
         return "close" not in options and (self.version == 1 or "keep-alive" in options)
--- a/lupinlink/net/http1_writers.py
+++ b/lupinlink/net/http1_writers.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as bytes: heads, framing, chunks. No I/O here."""
+"""Encodes HTTP/1.1 messages: heads, framing, chunks. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     504: "Gateway Timeout",
     505: "HTTP Version Not Supported",
 }
-CHUNKED = -1  # in place of a length
+CHUNKED = -1  # passed instead of a length
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
-    """A piece of a chunked body; none for no bytes, which would end it."""
+    """One chunk of a chunked body; empty for no data, as an empty chunk would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
@@ -37,21 +37,21 @@
 
 
 def request_head(method: str, target: str, headers: list[tuple[str, str]], length: int = 0) -> bytes:
-    """A request's head; ``length``: of its body, or CHUNKED."""
+    """The head of a request; ``length``: of its body, or CHUNKED."""
     framed = length if length or method == "POST" else None
     return _head(f"{method} {target} HTTP/1.1", headers, framed)
 
 
 def request(method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
-    """A request's bytes; the framing is added here."""
+    """A whole request, with its framing headers added."""
     return request_head(method, target, headers, len(body)) + body
 
 
 def response_head(status: int, headers: list[tuple[str, str]], length: int | None, close: bool) -> bytes:
-    """An answer's head; ``length``: of its body, CHUNKED, or None for a body to the end of the connection."""
+    """The head of an answer; ``length``: of its body, CHUNKED, or None if the connection's close ends it."""
     return _head(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", headers, length, close)
 
 
 def response(status: int, headers: list[tuple[str, str]], body: bytes, close: bool) -> bytes:
-    """An answer's bytes; the framing is added here."""
+    """A whole answer, with its framing headers added."""
     return response_head(status, headers, len(body), close) + body
--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -172,8 +172,8 @@
             if responder is not None:
                 self.counters["served"] += 1
                 responder.served(end.reply)
-            elif end.reply.flow is not None:
-                end.reply.flow.stop()
+            elif end.reply.stream is not None:
+                end.reply.stream.stop()
         elif entry.committed:
             self._end_committed(entry)
         if entry.committed:
--- a/lupinlink/net/request_types.py
+++ b/lupinlink/net/request_types.py
@@ -59,8 +59,8 @@
     """An application server's answer to a request that it served."""
 
     headers: list[tuple[str, str]]
-    body: bytes  # the whole body, or the part received so far if ``flow`` is set
-    flow: ResponseStream | None = None
+    body: bytes  # the whole body, or the part received so far if ``stream`` is set
+    stream: ResponseStream | None = None
     length: int | None = None  # of the body that a HEAD request did not ask for
 
 
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -61,7 +61,7 @@
             parts.discovery_client,
         )
         self._leavers = ClientDrain(parts, self._leave)
-        self._premises = ListenerTakeover(config, limits, now, parts, self._told, self._leavers.watch)
+        self._premises = ListenerTakeover(config, limits, now, parts, self._told, self._leavers.start)
         calls: dict[str, dict[str, DoorCall]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
             "/control/out-of-service": {"PUT": yes_or_no(self._out_of_service)},
@@ -171,7 +171,7 @@
     def _out_of_service(self) -> bool:
         self._lifecycle.out_of_service(self._parts.clock.now())
         self._premises.pass_on(drain=True)
-        self._leavers.watch()
+        self._leavers.start()
         return True
 
     def _in_service(self) -> bool:
@@ -185,7 +185,7 @@
             log.info("stopping", extra={"kv": {"open": self._parts.proxy.open}})
             if self._hosting is not None:
                 self._hosting.stop()
-            self._leavers.watch()
+            self._leavers.start()
 
     def _leave(self) -> None:
         """Nothing more can come here."""
--- a/lupinlink/net/slots.py
+++ b/lupinlink/net/slots.py
@@ -1,4 +1,4 @@
-"""Numbered tables with generations: a handle to something that has ended finds nothing."""
+"""A table with generational handles: that of a removed item finds nothing, even if its slot is reused."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Slots(Generic[T]):
-    """A table whose handles are never used twice; the numbers of freed slots are."""
+    """A table whose slots are reused while its handles are not."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -25,7 +25,7 @@
         return iter([item for item in self._items if item is not None])
 
     def handles(self) -> list[int]:
-        """The handles of all that is in the table."""
+        """The handles of all items."""
         numbered = enumerate(zip(self._items, self._generations, strict=True))
         return [generation << INDEX_BITS | i for i, (item, generation) in numbered if item is not None]
 
@@ -34,7 +34,7 @@
         return len(self) >= self.capacity
 
     def add(self, item: T) -> int:
-        """Take a slot; the caller asks ``full`` first."""
+        """Add an item and return its handle. Raises OverflowError if the table is full."""
         if self.full:
             raise OverflowError("table is full")
         if self._free:
@@ -47,14 +47,14 @@
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, handle: int) -> T | None:
-        """What the handle stands for, or None once that has ended."""
+        """The item with this handle, None if it was removed."""
         index, generation = handle & ((1 << INDEX_BITS) - 1), handle >> INDEX_BITS
         if index >= len(self._items) or self._generations[index] != generation:
             return None
         return self._items[index]
 
     def remove(self, handle: int) -> T | None:
-        """Free the slot; a stale handle frees nothing."""
+        """Remove and return the item; None if it was removed before."""
         item = self.get(handle)
         if item is not None:
             index = handle & ((1 << INDEX_BITS) - 1)
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -85,7 +85,7 @@
             got += (piece := server.recv(65536))
             self.assertTrue(piece, got)
 
-    def kept(self) -> tuple[socket.socket, Any]:
+    def forwarded_headers(self) -> tuple[socket.socket, Any]:
         """A connection that stands idle in the pool: the server's end, and ours."""
         _, ends = self.attempt()
         server = self.accepted()
@@ -100,7 +100,7 @@
         self.assertTrue(select.select([connection.transport.getHandle()], [], [], WAIT)[0])
 
     def test_an_answer_that_is_here_goes_before_a_time_out_and_a_cancel(self) -> None:
-        server, connection = self.kept()
+        server, connection = self.forwarded_headers()
         for status in (Status.TIMEOUT, Status.CANCELLED):
             attempt, ends = self.attempt()
             self.asked(server)
@@ -112,12 +112,12 @@
 
     def test_a_time_out_of_the_last_attempt_does_not_end_the_next_on_its_connection(self) -> None:
         # Timers that have come due together all run, also one that was dropped by the one before it.
-        server, connection = self.kept()
+        server, connection = self.forwarded_headers()
         attempt, ends = self.attempt()
         self.asked(server)
         server.sendall(OK[:-1])
-        self.turn_until(lambda: connection._whole_by is not None)
-        late = connection._whole_by.call
+        self.turn_until(lambda: connection._progress_timer is not None)
+        late = connection._progress_timer.call
         server.sendall(OK[-1:])
         self.unread(connection)
         attempt.give_up(Status.TIMEOUT)
@@ -130,7 +130,7 @@
 
     def test_what_is_seen_but_cannot_be_read_holds_nothing_up(self) -> None:
         # A look that sees what no read gives must not be repeated until one does.
-        server, connection = self.kept()
+        server, connection = self.forwarded_headers()
         attempt, ends = self.attempt()
         self.asked(server)
         looks = iter([b"x"] * 100)
@@ -139,7 +139,7 @@
         self.assertEqual([end.status for end in ends], [Status.TIMEOUT])
 
     def test_half_an_answer_is_given_up_and_its_end_is_on_the_wire_before_the_next(self) -> None:
-        server, connection = self.kept()
+        server, connection = self.forwarded_headers()
         attempt, ends = self.attempt()
         self.asked(server)
         server.sendall(OK[:-1])
@@ -153,7 +153,7 @@
 
     def test_late_bytes_or_an_end_before_the_look_let_no_request_meet_them(self) -> None:
         for cut in (OK, OK[:5], b""):
-            server, connection = self.kept()
+            server, connection = self.forwarded_headers()
             if cut:
                 server.sendall(cut)
             else:
@@ -168,7 +168,7 @@
             self.learn()
 
     def test_a_break_before_the_kernel_has_the_last_byte_proves_that_it_never_ran(self) -> None:
-        server, connection = self.kept()
+        server, connection = self.forwarded_headers()
         connection.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         body = b"x" * (3 * SMALL_BODY_BYTES)
@@ -182,7 +182,7 @@
         self.assertEqual(ends[0].status, Status.UNREACHABLE)
 
     def test_a_break_once_the_kernel_has_all_of_it_proves_nothing(self) -> None:
-        server, _ = self.kept()
+        server, _ = self.forwarded_headers()
         _, ends = self.attempt()
         self.turn_until(lambda: select.select([server], [], [], 0)[0])  # it has come, and nobody reads it
         server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NOW)
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -98,10 +98,10 @@
     def test_who_waits_there_is_taken_before_the_process_ends(self) -> None:
         self.lifecycle.stop(self.clock.now() - self.lifecycle.last_ms)  # long quiet, and time to leave
         left = list[bool]()
-        ClientDrain(cast(Any, self), lambda: left.append(True)).watch()
+        ClientDrain(cast(Any, self), lambda: left.append(True)).start()
         self.assertEqual(left, [])
         self.empty()
-        ClientDrain(cast(Any, self), lambda: left.append(True)).watch()
+        ClientDrain(cast(Any, self), lambda: left.append(True)).start()
         self.assertEqual(left, [True])
 
     def test_a_crowd_makes_held_ones_of_new_clients_only_until_the_queue_is_seen_empty(self) -> None:
--- a/tests/test_news_before_write.py
+++ b/tests/test_news_before_write.py
@@ -40,12 +40,12 @@
             "another process": lambda: self.learn(started_ms=2.0),
         }
 
-    def checked(self, begin: Callable[[], list[AttemptResult]], kept: bool) -> None:
+    def checked(self, begin: Callable[[], list[AttemptResult]], forwarded_headers: bool) -> None:
         for name, change in self.changes().items():
             with self.subTest(name):
                 self.servers.update_list([], True)
                 self.loop.learn()
-                server = self.loop.kept()[0] if kept else None
+                server = self.loop.forwarded_headers()[0] if forwarded_headers else None
                 before = self.servers.counters["attempts_not_begun"]
                 self.servers.read_waiting_news = news_that(change)
                 ends = begin()
@@ -68,20 +68,20 @@
         return ends
 
     def test_on_a_kept_connection(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"body")[1], kept=True)
+        self.checked(lambda: self.loop.attempt(b"body")[1], forwarded_headers=True)
 
     def test_on_a_connection_that_has_just_come_up(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"body")[1], kept=False)
+        self.checked(lambda: self.loop.attempt(b"body")[1], forwarded_headers=False)
 
     def test_of_a_body_that_is_passed_on(self) -> None:
-        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BODY_BYTES))[1], kept=True)
+        self.checked(lambda: self.loop.attempt(b"x" * (3 * SMALL_BODY_BYTES))[1], forwarded_headers=True)
 
     def test_of_a_probe(self) -> None:
-        self.checked(self.probe, kept=True)
-        self.checked(self.probe, kept=False)
+        self.checked(self.probe, forwarded_headers=True)
+        self.checked(self.probe, forwarded_headers=False)
 
     def test_an_attempt_that_ends_in_the_look_is_not_written_and_its_connection_rests(self) -> None:
-        server, connection = self.loop.kept()
+        server, connection = self.loop.forwarded_headers()
         attempts: list[Any] = []
         start = self.servers._send
 
@@ -111,7 +111,7 @@
         )
         self.addCleanup(self.discovery_client.stop)
         self.servers.read_waiting_news = self.discovery_client.read_waiting_news
-        self.server, _ = self.loop.kept()
+        self.server, _ = self.loop.forwarded_headers()
         self.discovery_client.call()
         self.loop.turn_until(self.discovery.watches.qsize)
         self.watch = self.discovery.watch()
--- a/tests/test_queue_wait.py
+++ b/tests/test_queue_wait.py
@@ -14,24 +14,24 @@
 
     def test_at_a_start_it_is_not_known_until_the_queue_is_seen_empty(self) -> None:
         self.assertEqual(self.queue.waited_ms(10.0), math.inf)
-        self.queue.looked(20.0, 0)
+        self.queue.observed(20.0, 0)
         self.assertEqual(self.queue.waited_ms(25.0), 5.0)
-        self.queue.ended()
+        self.queue.emptied()
         self.assertEqual(self.queue.waited_ms(30.0), 0.0)
 
     def test_a_queue_that_is_never_empty_is_known_once_what_a_look_found_is_through(self) -> None:
-        self.queue.looked(100.0, 3)
+        self.queue.observed(100.0, 3)
         for _ in range(3):
             self.assertEqual(self.queue.waited_ms(140.0), math.inf)  # it may have been there long
-            self.queue.looked(150.0, 9)  # an earlier look still counts
+            self.queue.observed(150.0, 9)  # an earlier look still counts
             self.queue.accepted()
         self.assertEqual(self.queue.waited_ms(160.0), 60.0)  # it came after that look
-        self.queue.looked(200.0, 1)
+        self.queue.observed(200.0, 1)
         self.queue.accepted()
         self.assertEqual(self.queue.waited_ms(230.0), 30.0)
 
     def test_a_listener_that_is_left_forgets_the_look_before(self) -> None:
-        self.queue.looked(100.0, 1)
+        self.queue.observed(100.0, 1)
         self.queue.reading_stopped(110.0)
         self.queue.accepted()
         self.assertEqual(self.queue.waited_ms(130.0), 20.0)
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -23,7 +23,7 @@
 
 class WrittenAtOnce(ManualReactorTest):
     def test_a_request_on_a_kept_connection_is_out_before_the_turn_goes_on(self) -> None:
-        server, _ = self.loop.kept()
+        server, _ = self.loop.forwarded_headers()
         _, ends = self.loop.attempt(b"body")
         self.assertTrue(self.came(server).endswith(b"body"))
         self.drain()  # later in the same turn: too late for it, and no second copy goes out
@@ -50,7 +50,7 @@
         self.assertTrue(servers[0].endswith(b"body"))
 
     def test_of_a_long_body_only_the_head_goes_at_once_and_the_rest_follows(self) -> None:
-        server, connection = self.loop.kept()
+        server, connection = self.loop.forwarded_headers()
         body = b"x" * (3 * SMALL_BODY_BYTES)
         _, ends = self.loop.attempt(body)
         head = self.came(server)
@@ -68,7 +68,7 @@
 
     def test_a_break_before_the_last_byte_proves_that_it_never_ran_and_after_it_not(self) -> None:
         for size, status in ((0, Status.RESET), (3 * SMALL_BODY_BYTES, Status.UNREACHABLE)):
-            server, _ = self.loop.kept()
+            server, _ = self.loop.forwarded_headers()
             _, ends = self.loop.attempt(b"x" * size)
             server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             server.close()  # in the same turn
@@ -77,7 +77,7 @@
             self.assertEqual([end.status for end in ends], [status])
 
     def test_a_write_that_fails_ends_the_attempt_once_as_never_run(self) -> None:
-        server, connection = self.loop.kept()
+        server, connection = self.loop.forwarded_headers()
 
         def reset() -> None:
             server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -85,7 +85,7 @@
             self.loop.unread(connection)
 
         # Behind every look: only the write itself meets it.
-        with patch.object(SendingConnection, "_ends_unasked", lambda sending: reset()):
+        with patch.object(SendingConnection, "_server_spoke_first", lambda sending: reset()):
             _, ends = self.loop.attempt()
         self.assertEqual(ends, [])
         self.loop.turn_until(lambda: ends)
@@ -98,7 +98,7 @@
     """Its server ends, or says something, between the look at the kept connection and the write."""
 
     def crossed(self, cross: Callable[[socket.socket], object]) -> tuple[socket.socket, list[AttemptResult]]:
-        server, connection = self.loop.kept()
+        server, connection = self.loop.forwarded_headers()
 
         def between() -> None:
             cross(server)
@@ -126,7 +126,7 @@
         self.assertEqual((ends[0].status, self.end_of(server)), (Status.OVERLOADED, b""))
 
     def test_what_is_only_announced_changes_nothing(self) -> None:
-        server, connection = self.loop.kept()
+        server, connection = self.loop.forwarded_headers()
         server.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.loop.unread(connection)
         with patch.object(type(connection), "stale", lambda connection: False):
