--- a/lupinlink/net/application_servers/attempts.py
+++ b/lupinlink/net/application_servers/attempts.py
@@ -25,7 +25,7 @@
     counters: Counters
     connections: Slots[object]  # established, or being established
     list_is_held: Callable[[], bool]  # whether no request may be written at present
-    read_waiting_news: Callable[[], bool]  # reads discovery's news; whether some of it has not come whole
+    read_pending_updates: Callable[[], bool]  # reads what discovery sent; True if an update is incomplete
 
 
 class AttemptConnection(Protocol):
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -76,8 +76,8 @@
         # Updates that discovery has written count as notified even while they are unread here. So they are
         # read now, and nothing between this and the write may take long: no call to the clock or to the
         # decision module, no return to the reactor.
-        news_cut_short = self._servers.read_waiting_news()
-        if news_cut_short or not (self.pool.current and attempt.is_open):
+        update_cut_short = self._servers.read_pending_updates()
+        if update_cut_short or not (self.pool.current and attempt.is_open):
             self._drop_unsent(attempt)
             return
         self._attempt, attempt.connection = attempt, self
--- a/lupinlink/net/watch_dial.py
+++ b/lupinlink/net/watch_factory.py
@@ -1,4 +1,4 @@
-"""Brings the connection of one call to discovery up."""
+"""The client factory for the connection of one call to discovery."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from lupinlink.net.watch import Watch
 
 
-class WatchDial(ClientFactory):
-    """Brings one watch's connection up."""
+class WatchFactory(ClientFactory):
+    """Connects one watch; a factory serves one connection only."""
 
     noisy = False
 
