--- a/tests/discovery_drive.py
+++ b/tests/discovery_drive.py
@@ -1,4 +1,4 @@
-"""Drives the program's real parts through a script, on a virtual clock and connections in memory."""
+"""Runs the real components through a script, on a virtual clock with connections in memory."""
 
 from __future__ import annotations
 
@@ -20,15 +20,17 @@
 from tests.memory_reactor import MemoryReactor
 from tests.simulated_discovery import ADDRESSES, SimulatedDiscovery
 
-SPARSE_MS, USUAL_MS, DENSE_MS = 400.0, 50.0, 25.0  # between requests: usually, and around "told"
+# Intervals of requests, and the spans, from the time of notification on, in which the shorter ones apply.
+SPARSE_MS, USUAL_MS, DENSE_MS = 400.0, 50.0, 25.0
 USUAL, DENSE = (
     (-500.0, 8000.0),
     (100.0, 1500.0),
-)  # where these hold, from when a change counts as told by time
-AGAIN_MS, WATCHED_MS = 12000.0, 2000.0  # so long after the last event requests are sent again
-MOST_MS = 300_000.0
+)
+# After the last event requests have to be sent again within this time, and are then watched for WATCHED_MS.
+RECOVERED_MS, WATCHED_MS = 12000.0, 2000.0
+MAX_RUN_MS = 300_000.0
 ROUNDING_MS = 0.01  # of virtual times
-GAP_MS = 600.0  # between requests: more than that, and there was no process
+GAP_MS = 600.0  # a longer gap between requests means that there was no process
 SETTINGS = Settings(
     classes=(RequestClass(400.0, 2000.0, effect=Effect.SAFE),), tenants=(Tenant(1000.0, "t"),),
     max_attempts=3, may_cancel=True, max_retry_after_ms=2000.0, zones=("a",), kinds=("m",),
@@ -37,10 +39,10 @@
 
 @dataclass
 class Result:
-    """What a drive has shown."""
+    """The result of a drive."""
 
     late_attempts: list[LateAttempt]  # the worst first
-    held_ms: float  # in all, while there were requests and no attempt began
+    held_ms: float  # in total, while requests came and no attempt began
     longest_hold_ms: float
     attempts: int
     answers: dict[str, int] = field(default_factory=dict)
@@ -57,8 +59,8 @@
         return f"{worst}; held {self.held_ms:.0f} ms, longest {self.longest_hold_ms:.0f}; {self.answers}"
 
 
-class Side:
-    """A client."""
+class CountingClient:
+    """A client that counts the outcomes of its requests."""
 
     def __init__(self, answers: dict[str, int]) -> None:
         self._answers = answers
@@ -80,7 +82,7 @@
 
 
 class Drive:
-    """One script."""
+    """One run of a script."""
 
     def __init__(self, script: Script) -> None:
         self._script, self.clock = script, VirtualClock()
@@ -91,23 +93,23 @@
         self._answers: dict[str, int] = {}
         self._parts: Components | None = None
         self._reactor: MemoryReactor | None = None
-        self._fed: list[float] = []
-        told_by_time = [after_outages(change.at, outages) + LATEST_MS for change in script.changes]
-        told_by_time += [at + LATEST_MS for at in script.silences]
-        self._told_by_time = told_by_time
+        self._requested_at: list[float] = []
+        notified_by_time = [after_outages(change.at, outages) + LATEST_MS for change in script.changes]
+        notified_by_time += [at + LATEST_MS for at in script.silences]
+        self._notified_by_time = notified_by_time
         self._last_event = script.last_event
         for pause in script.pauses:
             self.clock.pause(pause.at, pause.ms, pause.reads)
         self._plan = [(at, self._move) for at in script.moves]
         for restart in script.restarts:
-            # In an outage the known list has to serve, so there it is as the process had it last.
+            # In an outage the process can use nothing but its list, so it gets the last one.
             stale = restart.stale and (script.starts_in_outages or not script.outages)
             start = partial(self._start, stale=stale)
-            self._plan += [(restart.at, self._die), (restart.at + restart.away, start)]
+            self._plan += [(restart.at, self._kill), (restart.at + restart.away, start)]
         self._plan.sort(key=lambda step: step[0])
 
     def run(self) -> Result:
-        """Play it to its end."""
+        """Run the script to its end."""
         with mock.patch("lupinlink.net.timer_wheel.time", self.clock):
             self._start()
             next_request = 0.0
@@ -115,14 +117,14 @@
                 while self._plan and self._plan[0][0] <= self.clock.now:
                     self._plan.pop(0)[1]()
                 if next_request <= self.clock.now:
-                    next_request = self.clock.now + self._feed()
+                    next_request = self.clock.now + self._send_request()
                 if self._reactor is None or not self._reactor.turn():
                     self._jump(next_request)
         return self._result()
 
     def _end(self) -> float:
         last = max(self._last_event, self._discovery.last_fault_at)
-        return min(last + AGAIN_MS + WATCHED_MS, MOST_MS)
+        return min(last + RECOVERED_MS + WATCHED_MS, MAX_RUN_MS)
 
     def _jump(self, next_request: float) -> None:
         times = [next_request, self._end()]
@@ -133,16 +135,16 @@
         times += [event] if event is not None else []
         self.clock.advance(max(self.clock.now + 1e-6, min(times)))
 
-    def _feed(self) -> float:
-        """One request; when the next is due."""
+    def _send_request(self) -> float:
+        """Send a request; return the delay until the next one."""
         if self._parts is not None:
             self._number += 1
-            self._fed.append(self.clock.now)
+            self._requested_at.append(self.clock.now)
             request = ClientRequest(
                 str(self._number), 0, 0, 1000.0, False, "GET", "/look", [], Body.from_bytes(b"")
             )
-            self._parts.proxy.submit(request, Side(self._answers))
-        since = [self.clock.now - at for at in self._told_by_time]
+            self._parts.proxy.submit(request, CountingClient(self._answers))
+        since = [self.clock.now - at for at in self._notified_by_time]
         if any(DENSE[0] <= one < DENSE[1] for one in since):
             return DENSE_MS
         return USUAL_MS if any(USUAL[0] <= one < USUAL[1] for one in since) else SPARSE_MS
@@ -150,7 +152,7 @@
     # The process.
 
     def _start(self, stale: bool = False) -> None:
-        """``stale``: with the list of the day's beginning."""
+        """``stale``: with the list of the script's beginning."""
         if stale:
             self._discovery.forget()
         known = self._discovery.known
@@ -165,7 +167,7 @@
         self._parts = build(config, self._reactor, Capacity(100, 100, 32.0))  # type: ignore[arg-type]
         self._parts.discovery_client.start(known)
 
-    def _die(self) -> None:
+    def _kill(self) -> None:
         if self._reactor is not None:
             self._reactor.die()
         self._reactor = self._parts = None
@@ -184,7 +186,7 @@
         return self._backend(f"s-{host.removeprefix('10.1.0.')}")
 
     def _backend(self, name: str) -> Link:
-        """A connection to a backend, that answers each request at once."""
+        """Return a connection to a backend that answers each request at once."""
         link, request = Link(), bytearray()
 
         def received(data: bytes) -> None:
@@ -200,9 +202,9 @@
 
     def _result(self) -> Result:
         times = self.oracle.attempts_at()
-        holds = held(self._fed, times)
+        holds = held(self._requested_at, times)
         watched = self.clock.now - WATCHED_MS
-        fed, sent = (sum(at >= watched for at in each) for each in (self._fed, times))
+        fed, sent = (sum(at >= watched for at in each) for each in (self._requested_at, times))
         return Result(
             self.oracle.late_attempts(), sum(holds), max(holds, default=0.0), len(times),
             self._answers, sent >= fed / 2,
@@ -210,7 +212,7 @@
 
 
 def held(fed: list[float], sent: list[float]) -> list[float]:
-    """How long each time requests came and no attempt began; a time with no process is none."""
+    """Return the times for which requests came and no attempt began; gaps without a process don't count."""
     holds, held_ms = list[float](), 0.0
     for before, after in pairwise(fed):
         quiet = bisect_left(sent, before) == bisect_left(sent, after)
@@ -223,5 +225,5 @@
 
 
 def drive(script: Script) -> Result:
-    """Play a script."""
+    """Run a script."""
     return Drive(script).run()
--- a/tests/drain_discovery.py
+++ b/tests/drain_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service shared by several proxy processes, with scripted faults for the drain tests."""
+"""A fake discovery service for several proxy processes, with scripted faults for the drain tests."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.discovery_replies import Reply as Reply
 from tests.loopback_servers import WAIT, LoopbackServer, chunk, listing, read_request, reset
 
-BEAT_S = 2.0  # an empty line comes so often on a watch
+HEARTBEAT_S = 2.0  # interval of the empty lines on a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CROWDED = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-FILLER = 900  # rows of other backends that drain, on a long list: some 150 KB
-CUT_S = 0.7  # from an object that is cut short to the reset of its connection
+FILLER = 900  # entries of other draining backends in a long list: some 150 KB
+CUT_S = 0.7  # from a truncated object to the reset of its connection
 
 
 class DiscoveryFrontend(LoopbackServer):
@@ -31,16 +31,16 @@
 
     def __init__(self, shared: SharedDiscovery) -> None:
         self.shared = shared
-        self.script: deque[Reply] = deque()  # for the next calls; then all are answered at once
+        self.script: deque[Reply] = deque()  # for the next calls; later ones are answered at once
         self.calls: queue.Queue[str] = queue.Queue()
-        self.watching: queue.Queue[int] = queue.Queue()  # a token as each watch is up to date
+        self.watching: queue.Queue[int] = queue.Queue()  # an item for each watch that is up to date
         self.form = Form.DELTA
-        self.cut_bytes = 0  # that pass, of what is cut short
-        self.sent_bytes = 0  # of objects on watches
-        self.opened: list[float] = []  # when watches were answered
-        self.written: dict[str, float] = {}  # when the drain of a backend was first written here
+        self.cut_bytes = 0  # bytes of a truncated object that are sent
+        self.sent_bytes = 0  # bytes of objects on watches
+        self.opened: list[float] = []  # times at which watches were answered
+        self.written: dict[str, float] = {}  # time at which the drain of a backend was first written here
         self.open: set[socket.socket] = set()
-        self.watches: dict[socket.socket, int] = {}  # those that are told, and their revision
+        self.watches: dict[socket.socket, int] = {}  # those that get changes, and their revision
         super().__init__()
 
     def talk(self, connection: socket.socket) -> None:
@@ -73,13 +73,13 @@
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                 self.note(self.shared.drained_at)
         with suppress(OSError):
-            connection.recv(1)  # until one side ends it
+            connection.recv(1)  # until one side closes it
         with self.shared.lock:
             self.watches.pop(connection, None)
             self.open.discard(connection)
 
     def note_answer(self, request: str) -> None:
-        """The answer to this call is written now, whatever becomes of it on its way."""
+        """Record that the answer to this call is written now, even if it gets lost."""
         with self.shared.lock:
             known = int(request.partition("from=")[2].split()[0]) if "watch" in request else 0
             self.note([row["uid"] for rev, row in self.shared.changes if rev > known])
@@ -93,16 +93,16 @@
         self.watching.put(version)
 
     def push(self, connection: socket.socket) -> None:
-        """Write what this watch has not had yet, as one object in this door's form. Lock held."""
+        """Write all new changes to this watch as one object, in this frontend's form. The lock is held."""
         shared, version = self.shared, self.watches[connection]
         if version == shared.rev:
             return
         rows = [row for rev, row in shared.changes if rev > version]
         whole = self.form in (Form.WHOLE, Form.LONG)
-        told = shared.whole() if whole else listing(shared.rev, False, *rows)
+        update = shared.whole() if whole else listing(shared.rev, False, *rows)
         if self.form == Form.LONG:
-            told["targets"] += [{**rows[0], "uid": f"filler-{i}"} for i in range(FILLER)]
-        data = chunk(json.dumps(told, indent=2 if self.form == Form.INDENTED else None) + "\n")
+            update["targets"] += [{**rows[0], "uid": f"filler-{i}"} for i in range(FILLER)]
+        data = chunk(json.dumps(update, indent=2 if self.form == Form.INDENTED else None) + "\n")
         if self.form == Form.CUT:
             self.cut(connection, data)
             self.note([row["uid"] for row in rows])
@@ -117,20 +117,20 @@
         self.note(shared.drained_at if whole else [row["uid"] for row in rows])
 
     def cut(self, connection: socket.socket, data: bytes) -> None:
-        """The network passes the first bytes on, and resets the connection later."""
+        """Send the first bytes only, and reset the connection later."""
         connection.sendall(data[: self.cut_bytes])
         self.form = Form.DELTA
         del self.watches[connection]
         threading.Timer(CUT_S, reset, (connection,)).start()
 
     def note(self, uids: Any) -> None:
-        """The object that tells the drain of these has just been written."""
+        """Record that an object with the drain of these backends has just been written."""
         now = time.monotonic()
         for uid in uids:
             self.written.setdefault(uid, now)
 
     def drop_all(self) -> None:
-        """Refuse connections from now on, and end all that are open; the port stays reserved."""
+        """Refuse connections from now on, and close all that are open; the port stays reserved."""
         port = self.port
         self.close()
         self.listener = socket.socket()
@@ -146,7 +146,7 @@
 
 
 class SharedDiscovery:
-    """The list that all proxies share; every fault strikes all doors alike, scripts are each door's own."""
+    """The list that all proxies share. Outages apply to all frontends; each has its own script of calls."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         self.rev, self.rows = 41, {row["uid"]: row for row in rows}
@@ -156,7 +156,7 @@
         self.lock = threading.RLock()
         self.closing, self.speaking = threading.Event(), threading.Event()
         self.speaking.set()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._heartbeat, daemon=True).start()
 
     def frontend(self) -> DiscoveryFrontend:
         self.frontends.append(DiscoveryFrontend(self))
@@ -166,7 +166,7 @@
         return listing(self.rev, True, *(r for r in self.rows.values() if r["state"] == "in_service"))
 
     def drain(self, *uids: str) -> float:
-        """These drain from now on; every watch that is told gets it at once."""
+        """Drain these backends; every open watch gets the change at once."""
         with self.lock:
             self.rev += 1
             for uid in [uid for uid in self.rows if uid in uids or uid.rpartition("/")[0] in uids]:
@@ -178,7 +178,7 @@
         return time.monotonic()
 
     def script(self, *replies: Reply) -> None:
-        """The next calls through each door are answered so."""
+        """Answer the next calls to each frontend so."""
         for frontend in self.frontends:
             frontend.script = deque(replies)
 
@@ -187,21 +187,21 @@
             frontend.drop_all()
 
     def come_back(self) -> float:
-        """The moment from which calls are accepted again."""
+        """Accept calls again; return the time."""
         for frontend in self.frontends:
             frontend.listen_again()
         return time.monotonic()
 
     def silence_watches(self) -> float:
-        """The open watches get one last empty line, and nothing ever after; new calls are their own."""
+        """Write a last heartbeat to the open watches and nothing afterwards; new calls are not affected."""
         with self.lock:
-            self._beat_all()
+            self._heartbeat_all()
             for frontend in self.frontends:
                 frontend.watches.clear()
             return time.monotonic()
 
     def end_watches(self, frontends: Iterable[DiscoveryFrontend] | None = None) -> float:
-        """Every watch ends, or those behind these doors; calls are accepted as ever. Returns when."""
+        """End every watch, or those of these frontends; calls are accepted as before. Return the time."""
         with self.lock:
             for frontend in self.frontends if frontends is None else frontends:
                 for connection in list(frontend.watches):
@@ -211,13 +211,13 @@
             return time.monotonic()
 
     def fall_silent(self) -> None:
-        """As an agent without its discovery: nothing is written, calls are accepted and wait."""
+        """Act as an agent that has lost its discovery: accept calls, and write nothing."""
         with self.lock:
-            self._beat_all()
+            self._heartbeat_all()
             self.speaking.clear()
 
     def speak_again(self) -> float:
-        """Open watches and pending calls get all at once."""
+        """Write all changes to open watches and pending calls at once; return the time."""
         with self.lock:
             self._push_all()
             self.speaking.set()
@@ -236,14 +236,14 @@
                 with suppress(OSError):
                     frontend.push(connection)
 
-    def _beat_all(self) -> None:
+    def _heartbeat_all(self) -> None:
         for frontend in self.frontends:
             for connection in list(frontend.watches):
                 with suppress(OSError):
                     connection.sendall(chunk("\n"))
 
-    def _beat(self) -> None:
-        while not self.closing.wait(BEAT_S):
+    def _heartbeat(self) -> None:
+        while not self.closing.wait(HEARTBEAT_S):
             with self.lock:
                 if self.speaking.is_set():
-                    self._beat_all()
+                    self._heartbeat_all()
--- a/tests/drain_fleet.py
+++ b/tests/drain_fleet.py
@@ -1,7 +1,7 @@
-"""A small fleet of real proxy processes under light load, and the judge of the rule ``drain``.
+"""A small fleet of real proxy processes under light load, judged by the rule ``drain``.
 
-Times are taken where the load of the machine does not reach them: the kernel stamps what a backend
-receives, and a change counts as written only after discovery's write has returned.
+Times do not depend on the load of the machine: the kernel stamps what a backend receives, and a change counts
+as written only after discovery's write has returned.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 from tests.loopback_servers import OK, WAIT, LoopbackServer, reset, row
 from tests.proxy_process import SETTINGS, ProxyProcessTest
 
-GRACE_S, SLACK_S = 0.25, 0.05  # the grace after a change was told; what sockets may take on top
-ALL_TOLD_S = 6.0  # after discovery had a change and could be reached, or a watch fell silent
-TOLD_AFTER_END_S = 0.3  # measured: the soonest at which news counts whose watch was ended in its place
-START_S = 1.0  # a process may take so long to start at no cost: it counts from a second before it serves
+GRACE_S, SLACK_S = 0.25, 0.05  # grace after a change counts as notified; extra time for sockets
+ALL_TOLD_S = 6.0  # from a change at a reachable discovery, or from a watch falling silent
+TOLD_AFTER_END_S = 0.3  # measured: earliest time after the end of a watch at which its change counts
+START_S = 1.0  # allowed time to start: a process counts from a second before it serves
 UIDS = ("s-0", "s-1", "s-2", "s-3")
-DRAINED = ("s-0", "s-1")  # half of the backends drain: most requests would meet one
-THREADS, PACE_S = 3, 0.1  # of the load on each process: some thirty requests a second
+DRAINED = ("s-0", "s-1")  # half of the backends, so that most requests would reach one
+THREADS, PACE_S = 3, 0.1  # load on each process: some 30 requests a second
 SO_TIMESTAMPNS = 35  # Linux
 
 
 @dataclass(frozen=True)
 class Receipt:
-    """One request at a backend: when its first bytes came, and its trace."""
+    """One request at a backend: the time of its first bytes, and its trace."""
 
     at: float
     trace: str
 
 
 class Backend(LoopbackServer):
-    """Answers 200, whatever the list says of it, and records each request."""
+    """Answers 200, in whatever state it is listed, and records each request."""
 
     def __init__(self, answer: bytes | None = OK) -> None:
-        """``answer``: to each request; None: none ever comes, empty: the connection ends."""
+        """``answer``: to each request; None: never answer; empty: reset the connection."""
         self.receipts: list[Receipt] = []
         self.answer = answer
         super().__init__()
@@ -69,7 +69,7 @@
 
     @staticmethod
     def received(ancillary: list[tuple[int, int, bytes]]) -> float:
-        """The kernel's time of receipt, on the monotonic clock."""
+        """Return the kernel's time of receipt, on the monotonic clock."""
         now, wall = time.monotonic(), time.time()
         for _, kind, data in ancillary:
             if kind == SO_TIMESTAMPNS:
@@ -80,7 +80,7 @@
 
 @dataclass
 class Member:
-    """One proxy process, from its start to its end."""
+    """One proxy process."""
 
     name: str
     frontends: list[DiscoveryFrontend]
@@ -96,20 +96,20 @@
     halt: threading.Event = field(default_factory=threading.Event)
 
     def head(self) -> bytes:
-        """One more request."""
+        """Return one more request."""
         trace = f"{self.name}.{next(self.traces)}"
         return (
             f"GET /look/1 HTTP/1.1\r\nHost: test\r\nX-Trace-Id: {trace}\r\nX-Customer: acme\r\n"
             "X-Expires-In-Ms: 1500\r\n\r\n"
         ).encode()
 
-    def told_at(self, uid: str, latest: float) -> float:
+    def notified_at(self, uid: str, latest: float) -> float:
         return min(
             [latest, *(frontend.written[uid] for frontend in self.frontends if uid in frontend.written)]
         )
 
     def load(self) -> None:
-        """Keep some requests coming until ``halt``."""
+        """Send requests until ``halt`` is set."""
         for _ in range(THREADS):
             threading.Thread(target=self._load, daemon=True).start()
 
@@ -123,7 +123,7 @@
                 answer.read()
                 self.answers.put(answer.status)
             except (OSError, http.client.HTTPException):
-                client.close()  # the process is on its way out, or gone
+                client.close()  # the process is ending or gone
         client.close()
 
     def served(self, wanted: int) -> None:
@@ -136,18 +136,18 @@
 
 
 class FleetProcessTest(ProxyProcessTest):
-    """Several proxy processes round one discovery and four backends."""
+    """Several proxy processes with one discovery and four backends."""
 
-    forms: ClassVar[tuple[Form, ...]] = (Form.DELTA,)  # of the news, by turns
-    peers: ClassVar[int] = 4  # processes that the settings tell of
-    more_backends: ClassVar[int] = 0  # that share the listeners of the four
+    forms: ClassVar[tuple[Form, ...]] = (Form.DELTA,)  # of the watches, in rotation
+    peers: ClassVar[int] = 4  # size of the fleet in the settings
+    more_backends: ClassVar[int] = 0  # backends that share the listeners of the four
 
     def setUp(self) -> None:
         super().setUp()
         self.backends = {uid: self.peer(Backend()) for uid in UIDS}
         self.rows = [row(uid, backend) for uid, backend in self.backends.items()]
         self.rows += [
-            row(f"{uid}/{number}", backend)  # one more of the same: it drains when that does
+            row(f"{uid}/{number}", backend)  # it drains together with that backend
             for uid, backend in self.backends.items()
             for number in range(self.more_backends // len(UIDS))
         ]
@@ -157,7 +157,7 @@
     def spawn(
         self, name: str, *frontends: DiscoveryFrontend, rank: int = 0, listen: str = "127.0.0.1:0"
     ) -> Member:
-        """Start one process with the list of the test's beginning; it is not serving yet."""
+        """Start one process with the initial list; it is not serving yet."""
         limits = {**self.settings, "PeersTotal": self.peers, "Rank": rank}
         tenants = [{"Name": "acme", "QuotaPerS": 10000.0}]
         config = {**self.config(*self.rows), "name": name, "listen": listen,
@@ -176,7 +176,7 @@
             member.serving_at = time.monotonic()
 
     def fleet(self, size: int = 4) -> list[Member]:
-        """So many processes under load, each with a watch that is up."""
+        """Start processes under load, each with an open watch."""
         members = []
         for rank in range(size):
             frontend = self.shared.frontend()
@@ -191,21 +191,22 @@
         return members
 
     def pass_time(self, until: float) -> None:
-        """Let a fault last, or the judged time go by, while the load goes on."""
+        """Wait while the load goes on."""
         threading.Event().wait(max(0.0, until - time.monotonic()))
 
     def judge(self, latest: float | Callable[[Member], float], *uids: str) -> None:
-        """No first byte at a drained backend later than told, the grace and the slack of sockets."""
+        """Assert that no first byte reached a drained backend after notification, grace and socket slack."""
         late = []
         for member in self.members:
             for uid in uids or DRAINED:
                 bound = latest(member) if callable(latest) else latest
-                told = member.told_at(uid, bound)
-                how = "told at the latest then" if told == bound else "written to it"
+                notified_at = member.notified_at(uid, bound)
+                how = "notified at the latest then" if notified_at == bound else "written to it"
                 over = [
-                    receipt.at - told - GRACE_S
+                    receipt.at - notified_at - GRACE_S
                     for receipt in list(self.backends[uid].receipts)
-                    if receipt.trace.startswith(f"{member.name}.") and receipt.at > told + GRACE_S + SLACK_S
+                    if receipt.trace.startswith(f"{member.name}.")
+                    and receipt.at > notified_at + GRACE_S + SLACK_S
                 ]
                 if over:
                     late.append(
@@ -216,12 +217,12 @@
         self.assertFalse(late, "\n" + "\n".join(late))
 
     def receipts_after(self, member: Member, at: float) -> int:
-        """How much this process has sent since then, to any backend."""
+        """Return how many requests this process has sent since then, to any backend."""
         receipts = (receipt for backend in self.backends.values() for receipt in list(backend.receipts))
         return sum(one.at > at and one.trace.startswith(f"{member.name}.") for one in receipts)
 
     def judge_recovered(self, latest: float | Callable[[Member], float]) -> None:
-        """The same for a fleet under load that has to serve again: no silence is taken for obedience."""
+        """Judge a fleet that has to serve again, since one that sends nothing would pass as well."""
         for member in self.members:
             if member.process.poll() is None:
                 member.served(10)
--- a/tests/drain_survey.py
+++ b/tests/drain_survey.py
@@ -1,4 +1,4 @@
-"""Plays many drawn scripts: ``python -m tests.drain_survey N [SEED] [pushed] [apart] [thousands]``.
+"""Runs many random scripts: ``python -m tests.drain_survey N [SEED] [pushed] [apart] [thousands]``.
 
 ``apart`` leaves out scripts in which an outage begins less than 6 s after another's end; ``thousands`` has
 discovery list so many more backends.
@@ -22,11 +22,11 @@
 EVENTS = ("pauses", "restarts", "moves", "runs", "silences", "outages", "changes")
 FLAGS = ("pieces", "indented", "leaves_out", "first_empty", "must_ask_ms", "peers", "rank")
 THOUSANDS = 3000
-SHRUNK = 12  # failing scripts that are made small and shown
+MAX_MINIMISED = 12  # failing scripts that are minimised and printed
 
 
-def smaller(script: Script) -> list[Script]:
-    """The script less one thing, in each way."""
+def reductions(script: Script) -> list[Script]:
+    """Return the script with one thing removed, for each thing."""
     found = []
     for name in EVENTS:
         items = getattr(script, name)
@@ -43,10 +43,10 @@
     return found
 
 
-def shrunk(script: Script) -> Script:
-    """The least that still fails."""
+def minimised(script: Script) -> Script:
+    """Return the smallest script that still fails."""
     for _ in range(100):
-        for less in smaller(script):
+        for less in reductions(script):
             if less.changes and fails(drive(less)):
                 script = less
                 break
@@ -59,8 +59,8 @@
     return result.worst_ms > 0.0 or not result.sent_again
 
 
-def way(script: Script) -> str:
-    """What it is made of, in a few words."""
+def summary(script: Script) -> str:
+    """Summarise the faults of a script."""
     words = [f"outage {outage.kind.value}" for outage in script.outages]
     words += ["silence"] * len(script.silences) + ["move"] * len(script.moves)
     words += ["restart"] * len(script.restarts) + ["pause"] * len(script.pauses)
@@ -71,7 +71,7 @@
 
 
 def survey(strategy: st.SearchStrategy[Script], examples: int, first: int = 1) -> list[tuple[Script, Result]]:
-    """Play so many."""
+    """Run so many scripts."""
     played: list[tuple[Script, Result]] = []
 
     @seed(first)
@@ -88,8 +88,8 @@
 
 
 def main(words: list[str]) -> None:
-    """Print what so many scripts have shown."""
-    logging.disable(logging.ERROR)  # the program tells each end of a watch
+    """Run the survey and print its results."""
+    logging.disable(logging.ERROR)  # the program logs the end of each watch
     began = time.monotonic()
     strategy = pushed if "pushed" in words else asked
     if "apart" in words:
@@ -113,9 +113,9 @@
     print(f"answers={dict(answers)} took_s={time.monotonic() - began:.0f}")
     failing = [(s, r) for s, r in played if fails(r)]
     failing.sort(key=lambda pair: -pair[1].worst_ms)
-    for script, result in failing[:: max(1, len(failing) // SHRUNK)][:SHRUNK]:
-        least = shrunk(script)
-        print(f"way: {way(least)} | {drive(least)} | {least} (from {result.worst_ms:.0f})")
+    for script, result in failing[:: max(1, len(failing) // MAX_MINIMISED)][:MAX_MINIMISED]:
+        least = minimised(script)
+        print(f"way: {summary(least)} | {drive(least)} | {least} (from {result.worst_ms:.0f})")
 
 
 if __name__ == "__main__":
--- a/tests/test_drain_oracle.py
+++ b/tests/test_drain_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of "told" by itself: what it makes of each thing that happens."""
+"""The oracle of the rule ``drain`` on its own: when it counts a change as notified."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from tests.drain_oracle import DrainOracle, OpenWatch, Outage, after_outages
 
 
-class Told(unittest.TestCase):
-    def told(self, oracle: DrainOracle, had: float) -> float:
+class NotificationTime(unittest.TestCase):
+    def notified_at(self, oracle: DrainOracle, had: float) -> float:
         oracle.had("a", had)
         return oracle.notified_at(oracle.processes[-1], "a")
 
-    def test_what_nobody_wrote_counts_6_s_after_discovery_had_it_and_could_be_reached(self) -> None:
-        for outages, told in (
+    def test_an_unwritten_change_counts_6_s_after_a_reachable_discovery_had_it(self) -> None:
+        for outages, expected in (
             ((), 16000.0),
             ((Outage(9000.0, 10000.0),), 16000.0),
             ((Outage(9000.0, 12000.0),), 18000.0),
@@ -25,24 +25,24 @@
         ):
             oracle = DrainOracle(outages)
             oracle.started(0.0, frozenset())
-            self.assertEqual(self.told(oracle, 10000.0), told, outages)
+            self.assertEqual(self.notified_at(oracle, 10000.0), expected, outages)
 
-    def test_what_was_written_counts_at_once_and_the_first_time_holds(self) -> None:
+    def test_a_written_change_counts_from_its_first_write(self) -> None:
         oracle = DrainOracle(())
         process = oracle.started(0.0, frozenset())
         for at in (11000.0, 12000.0):
             oracle.wrote(process, "a", at)
-        self.assertEqual(self.told(oracle, 10000.0), 11000.0)
+        self.assertEqual(self.notified_at(oracle, 10000.0), 11000.0)
 
-    def test_what_a_reset_has_discarded_unread_does_not_count(self) -> None:
+    def test_a_change_that_a_reset_discarded_unread_does_not_count(self) -> None:
         oracle = DrainOracle(())
         process = oracle.started(0.0, frozenset())
         oracle.wrote(process, "a", 11000.0)
         oracle.unread(process, "a", 11000.0)
-        self.assertEqual(self.told(oracle, 10000.0), 16000.0)
+        self.assertEqual(self.notified_at(oracle, 10000.0), 16000.0)
 
-    def test_a_silent_watch_counts_6_s_after_it_fell_silent_while_it_is_open(self) -> None:
-        for watch, told in (
+    def test_a_change_on_an_open_silent_watch_counts_6_s_after_the_silence_began(self) -> None:
+        for watch, expected in (
             (OpenWatch(0.0, silent_at=9000.0), 15000.0),
             (OpenWatch(0.0, silent_at=1000.0), 10000.0),
             (OpenWatch(0.0, silent_at=9000.0, closed_at=9900.0), 16000.0),
@@ -50,15 +50,15 @@
         ):
             oracle = DrainOracle(())
             oracle.started(0.0, frozenset()).watches.append(watch)
-            self.assertEqual(self.told(oracle, 10000.0), told, watch)
+            self.assertEqual(self.notified_at(oracle, 10000.0), expected, watch)
 
-    def test_an_outage_behind_a_silence_counts_from_its_end(self) -> None:
+    def test_a_change_counts_from_the_end_of_an_outage_after_a_silence(self) -> None:
         oracle = DrainOracle((Outage(11000.0, 13000.0),))
         oracle.started(0.0, frozenset()).watches.append(OpenWatch(0.0, silent_at=9000.0))
-        self.assertEqual(self.told(oracle, 10000.0), 19000.0)
+        self.assertEqual(self.notified_at(oracle, 10000.0), 19000.0)
 
-    def test_a_later_process_has_a_second_unless_its_list_tells(self) -> None:
-        for start, known, told in (
+    def test_a_later_process_has_a_second_unless_its_list_has_the_change(self) -> None:
+        for start, known, expected in (
             (12000.0, frozenset[str](), 16000.0),
             (15500.0, frozenset[str](), 16500.0),
             (15500.0, frozenset({"a"}), 15500.0),
@@ -66,10 +66,10 @@
             oracle = DrainOracle(())
             oracle.started(0.0, frozenset())
             oracle.started(start, known)
-            self.assertEqual(self.told(oracle, 10000.0), told)
+            self.assertEqual(self.notified_at(oracle, 10000.0), expected)
 
     def test_pushed_lists_count_as_the_agent_has_them_and_4_s_after_sighup(self) -> None:
-        for start, moves, told in (
+        for start, moves, expected in (
             (0.0, (), 10000.0),
             (12000.0, (), 12000.0),
             (0.0, (9000.0,), 13000.0),
@@ -80,9 +80,9 @@
             oracle.started(start, frozenset())
             for move in moves:
                 oracle.moved(move)
-            self.assertEqual(self.told(oracle, 10000.0), told)
+            self.assertEqual(self.notified_at(oracle, 10000.0), expected)
 
-    def test_lateness_counts_from_250_ms_after_told_and_only_where_a_backend_goes(self) -> None:
+    def test_attempts_are_late_250_ms_after_the_departure_of_their_backend_counts(self) -> None:
         oracle = DrainOracle(())
         oracle.started(0.0, frozenset())
         oracle.had("a", 10000.0)
