--- a/lupinlink/net/components.py
+++ b/lupinlink/net/components.py
@@ -32,11 +32,11 @@
     clients: Clients
 
 
-def build(config: Config, reactor: Reactor, room: Capacity) -> Components:
+def build(config: Config, reactor: Reactor, capacity: Capacity) -> Components:
     """Build all components; none of them listens or connects yet."""
     counters, clock, settings = Counters(), ReactorClock(reactor), config.settings
     lifecycle = Lifecycle(max(cls.deadline_ms for cls in settings.classes))
-    servers = ApplicationServers(reactor, clock, settings, room.servers, counters)
+    servers = ApplicationServers(reactor, clock, settings, capacity.servers, counters)
     discovery_client = DiscoveryClient(reactor, clock, config.discovery, settings, servers, counters)
     proxy = Proxy(settings, config.seed, clock, servers, discovery_client.call, counters)
     discovery_client.on_event = proxy.handle_soon
@@ -45,7 +45,7 @@
     servers.read_pending_updates = discovery_client.read_pending_updates
     servers.list_is_held = proxy.list_is_held
     clients = Clients(
-        proxy, discovery_client, clock, settings, lifecycle, room.clients, room.spare_mb, counters
+        proxy, discovery_client, clock, settings, lifecycle, capacity.clients, capacity.spare_mb, counters
     )
     return Components(reactor, clock, counters, lifecycle, servers, discovery_client, proxy, clients)
 
--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -76,7 +76,7 @@
     _host: ExtensionHost | None = None
     _lead: Lead | None = None
     _lead_managed_by_part: bool = False  # a part starts and stops it
-    _wishes: DrainReasons | None = None
+    _drain_reasons: DrainReasons | None = None
 
     @property
     def host(self) -> ExtensionHost:
@@ -85,11 +85,11 @@
         return self._host
 
     @property
-    def wishes(self) -> DrainReasons:
+    def drain_reasons(self) -> DrainReasons:
         """The reasons to keep this proxy out of service; parts drain it, or end a drain, only by these."""
-        if self._wishes is None:
-            self._wishes = DrainReasons(self.host.drain, self.host.in_service)
-        return self._wishes
+        if self._drain_reasons is None:
+            self._drain_reasons = DrainReasons(self.host.drain, self.host.in_service)
+        return self._drain_reasons
 
     def lead(self) -> Lead:
         """The leadership that all parts share: its holder advances all plans of the fleet."""
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -59,19 +59,21 @@
     """Counts how attempts ended, by backend."""
 
     def __init__(self) -> None:
-        self._by: dict[str, Outcomes] = {}
+        self._counts: dict[str, Outcomes] = {}
 
     def record(self, server: str, status: Status) -> None:
         """Record the end of one attempt."""
-        was = self._by.get(server, Outcomes())
-        ok, away, off = status == Status.OK, status in NEVER_RAN, status == Status.CANCELLED
-        failed = not (ok or away or off)
-        self._by[server] = Outcomes(was[0] + 1, was[1] + ok, was[2] + away, was[3] + failed)
+        previous = self._counts.get(server, Outcomes())
+        served, refused, cancelled = status == Status.OK, status in NEVER_RAN, status == Status.CANCELLED
+        failed = not (served or refused or cancelled)
+        self._counts[server] = Outcomes(
+            previous[0] + 1, previous[1] + served, previous[2] + refused, previous[3] + failed
+        )
 
     def of(self, listed: Iterable[str]) -> dict[str, Outcomes]:
         """The counts of the listed backends; those of others are dropped."""
-        self._by = {name: self._by[name] for name in listed if name in self._by}
-        return dict(self._by)
+        self._counts = {name: self._counts[name] for name in listed if name in self._counts}
+        return dict(self._counts)
 
 
 def make_handler(call: DoorCall) -> Handler:
@@ -115,9 +117,9 @@
         )  # fmt: skip
         self._reports, self._outcomes = UtilizationReports(), OutcomeCounts()
         self._started = self._stopped = False
-        self._proxy.quota_check = self._admits
+        self._proxy.quota_check = self._check_quota
         self._proxy.on_settled = fleet.settled
-        self._proxy.on_load_report, self._proxy.on_attempt_ended = self._reported, self._outcomes.record
+        self._proxy.on_load_report, self._proxy.on_attempt_ended = self._on_load_report, self._outcomes.record
 
     def calls(self, own_routes: RouteTable) -> RouteTable:
         """The routes of the management API: those of the service and those of the extension."""
@@ -145,11 +147,11 @@
             except Exception:  # the process stops even if the extension fails to
                 log.exception("fleet failed to stop")
 
-    def _admits(self, call: ClientRequest) -> float | None:
+    def _check_quota(self, call: ClientRequest) -> float | None:
         refusal = self._fleet.admits(call)
         return refusal.retry_after_ms if refusal is not None else None
 
-    def _reported(self, server: str, report: Mapping[str, float]) -> None:
+    def _on_load_report(self, server: str, report: Mapping[str, float]) -> None:
         self._reports.record(server, report, self.clock.now())
 
     @property
@@ -182,10 +184,10 @@
 
     def answer_all_and_close_idle(self) -> int:
         """Answer every open request now and close idle connections; returns the number of connections."""
-        here = len(self._clients.connections)
+        connections = len(self._clients.connections)
         self._proxy.end_all()
         self._clients.close_idle(include_new=True)
-        return here
+        return connections
 
     def gauges(self) -> Gauges:
         """The present state of connections and requests."""
@@ -193,10 +195,14 @@
         counts = {phase: len(clients) for phase, clients in phases.items()}
         # The clients of each phase are ordered by the time they entered it.
         oldest = [next(iter(phases[phase])).since for phase in (Phase.OPEN, Phase.BODY) if counts[phase]]
-        long = {**phases[Phase.BODY], **self._clients.uploading, **self._clients.streaming}
-        left = [client.bytes_to_go() for client in long]
-        known = self.utilization()
-        uses = [known[one.name] for one in self.servers() if one.state == "ready" and one.name in known]
+        in_transfer = {**phases[Phase.BODY], **self._clients.uploading, **self._clients.streaming}
+        remaining = [client.bytes_to_go() for client in in_transfer]
+        utilization = self.utilization()
+        uses = [
+            utilization[one.name]
+            for one in self.servers()
+            if one.state == "ready" and one.name in utilization
+        ]
         return Gauges(
             connections=len(self._clients.connections),
             idle=counts[Phase.SILENT] + counts[Phase.RESTING],
@@ -204,8 +210,8 @@
             closing=counts[Phase.CLOSING],
             requests=self._proxy.open,
             oldest_ms=now - min(oldest, default=now),
-            bytes_to_go=sum(told for told, _ in left),
-            untold=sum(untold for _, untold in left),
+            bytes_to_go=sum(known_bytes for known_bytes, _ in remaining),
+            untold=sum(untold for _, untold in remaining),
             unread=sum(client.not_reading for client in self._clients.streaming),
             servers_ready=self._discovery_client.ready,
             use=sum(uses) / len(uses) if uses else None,
@@ -218,10 +224,16 @@
         found = []
         for item in self._discovery_client.snapshot()["targets"]:
             name, state = str(item["uid"]), STATE_BY_NAME.get(item["state"])
-            ready = "ready" if state is not None and state.name == "READY" else "draining"
-            began = float(item.get("boot_ms") or 0.0)
+            server_state = "ready" if state is not None and state.name == "READY" else "draining"
+            started_ms = float(item.get("boot_ms") or 0.0)
             found.append(
-                ListedServer(name, str(item.get("az") or ""), ready, self._servers.is_reachable(name), began)
+                ListedServer(
+                    name,
+                    str(item.get("az") or ""),
+                    server_state,
+                    self._servers.is_reachable(name),
+                    started_ms,
+                )
             )
         return found
 
--- a/lupinlink/net/fleet_migration.py
+++ b/lupinlink/net/fleet_migration.py
@@ -36,10 +36,10 @@
         )  # fmt: skip
 
     def drain(self) -> None:
-        self._context.wishes.want(DRAIN_REASON, out=True)
+        self._context.drain_reasons.want(DRAIN_REASON, out=True)
 
     def in_service(self) -> None:
-        self._context.wishes.want(DRAIN_REASON, out=False)
+        self._context.drain_reasons.want(DRAIN_REASON, out=False)
 
     def end_last(self) -> int:
         return self._host.answer_all_and_close_idle()
--- a/lupinlink/net/fleet_release.py
+++ b/lupinlink/net/fleet_release.py
@@ -42,7 +42,7 @@
     def standby(self) -> bool:
         """Whether only migrations keep it out, and none has it serve: it counts neither as out nor in use."""
         migration = self._context.parts.get("migration")
-        return self._context.wishes.only("migration") and bool(getattr(migration, "standby", False))
+        return self._context.drain_reasons.only("migration") and bool(getattr(migration, "standby", False))
 
     def left(self) -> int:
         here = self._context.host.gauges()
@@ -83,10 +83,10 @@
         return [name for name in servers if name in held]
 
     def drain(self) -> None:
-        self._context.wishes.want(DRAIN_REASON, out=True)
+        self._context.drain_reasons.want(DRAIN_REASON, out=True)
 
     def in_service(self) -> bool:
-        return self._context.wishes.want(DRAIN_REASON, out=False)
+        return self._context.drain_reasons.want(DRAIN_REASON, out=False)
 
     def end(self, version: str) -> None:
         """The starter of the next process of this name reads the version from the log or the API."""
@@ -126,6 +126,6 @@
         lock_delay_ms,
         context.run_id,
     )
-    part.out_for_migration = lambda: context.wishes.wants("migration")
+    part.out_for_migration = lambda: context.drain_reasons.wants("migration")
     context.use_lead(part.lead)
     return part
--- a/lupinlink/net/handover/capacity.py
+++ b/lupinlink/net/handover/capacity.py
@@ -62,8 +62,8 @@
 
 
 def shrunk(limits: Limits, clients: int, servers: int, open_calls: int, spare_mb: float) -> Capacity:
-    """The capacity of a process whose successor serves: its present use, and backend connections enough for
-    its open requests.
+    """The capacity of a process whose successor serves: its present use, and backend connections enough to
+    answer its open requests.
     """
     own = capacity_for(limits)
     least = min(own.servers, open_calls + 2)
--- a/lupinlink/net/listener_takeover.py
+++ b/lupinlink/net/listener_takeover.py
@@ -33,16 +33,20 @@
         config: Config,
         limits: Limits,
         capacity: Capacity,
-        parts: Components,
+        components: Components,
         set_drained: Callable[[bool], None],
         drain_clients: Callable[[], None],
     ) -> None:
         """``set_drained``: drain (True) or serve again; ``drain_clients``: start closing connections."""
         self._config, self._limits, self.capacity = config, limits, capacity
         self._set_drained, self._drain_clients = set_drained, drain_clients
-        self._reactor, self._clock, self._lifecycle = parts.reactor, parts.clock, parts.lifecycle
+        self._reactor, self._clock, self._lifecycle = (
+            components.reactor,
+            components.clock,
+            components.lifecycle,
+        )
         self._servers, self._discovery_client, self._proxy, self._clients = (
-            parts.servers, parts.discovery_client, parts.proxy, parts.clients,
+            components.servers, components.discovery_client, components.proxy, components.clients,
         )  # fmt: skip
         self._upgrade = Upgrade(self, config.name)
         self._tick_scheduled = False
--- a/lupinlink/net/management.py
+++ b/lupinlink/net/management.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 REQUEST_TIMEOUT_MS = 10000.0  # some callers take seconds to send a request, none takes this long
 CLOSE_TIMEOUT_MS = 1000.0  # for the caller to read its answer and close the connection
-MAX_BODY_BYTES = 4096  # the service's own calls need no body
+MAX_OWN_BODY_BYTES = 4096  # the service's own calls need no body
 # Takes the query and the body of a call, returns the status and text of the answer. It must not block.
 Handler = Callable[[str, bytes], tuple[int, str]]
 Routes = Mapping[str, Mapping[str, Handler]]
@@ -99,7 +99,7 @@
         max_connections: int,
         clock: ReactorClock,
         counters: Counters,
-        max_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_OWN_BODY_BYTES,
     ) -> None:
         """``max_connections``: at the same time; ``max_body_bytes``: of one call."""
         self.clock, self.max_body_bytes = clock, max_body_bytes
--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -20,7 +20,7 @@
 from lupinlink.net.http1 import MAX_BODY
 from lupinlink.net.listener_takeover import ListenerTakeover
 from lupinlink.net.loop_iterations import measure_iterations
-from lupinlink.net.management import MAX_BODY_BYTES, Handler, ManagementApi, connection_limit, yes_or_no
+from lupinlink.net.management import MAX_OWN_BODY_BYTES, Handler, ManagementApi, connection_limit, yes_or_no
 from lupinlink.net.process import collect_garbage_by_timer, raise_descriptor_limit, resident_mb
 from lupinlink.net.twisted_types import Reactor
 from lupinlink.settings import Config, SettingsError
@@ -63,25 +63,25 @@
             components.lifecycle,
             components.discovery_client,
         )
-        self._leavers = ClientDrain(components, self._exit)
+        self._client_drain = ClientDrain(components, self._exit)
         self._takeover = ListenerTakeover(
-            config, limits, capacity, components, self._set_drained, self._leavers.watch
+            config, limits, capacity, components, self._set_drained, self._client_drain.watch
         )
         calls: dict[str, dict[str, Handler]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
             "/control/out-of-service": {"PUT": yes_or_no(self._out_of_service)},
             "/control/in-service": {"PUT": yes_or_no(self._in_service)},
         }
-        self._fleet_host = self._host(fleet) if fleet is not None else None
+        self._fleet_host = self._make_fleet_host(fleet) if fleet is not None else None
         if self._fleet_host is not None:
             calls = self._fleet_host.calls(calls)
-        max_body_bytes = MAX_BODY if self._fleet_host is not None else MAX_BODY_BYTES
+        max_body_bytes = MAX_BODY if self._fleet_host is not None else MAX_OWN_BODY_BYTES
         self._management = ManagementApi(
             calls, connection_limit(sockets), components.clock, self._counters, max_body_bytes
         )
 
-    def _host(self, fleet: FleetExtension) -> FleetHost:
-        """What the fleet extension may use of this service."""
+    def _make_fleet_host(self, fleet: FleetExtension) -> FleetHost:
+        """Make what the extension may use of this service."""
         from lupinlink.net.fleet_host import FleetHost, ServiceActions
 
         return FleetHost(
@@ -95,13 +95,14 @@
         """Serve until a signal ends the process; returns the exit code. Raises SettingsError."""
         # Before anything else, since the default action of these two signals is to end the process.
         signal.signal(signal.SIGHUP, self._on_reload)
-        signal.signal(signal.SIGUSR1, self._on_show)
+        signal.signal(signal.SIGUSR1, self._on_log_counters)
         try:
             self._discovery_client.start(self._config.initial_list)
         except ListError as exc:
             raise SettingsError(f"known: {exc}") from exc
         self._open_management()
-        self._reactor.callWhenRunning(self._started)  # before it logs that it serves: SIGTERM may follow
+        # Registered first, since SIGTERM may come as soon as the log says that the proxy serves.
+        self._reactor.callWhenRunning(self._on_running)
         self._takeover.start()
         if self._takeover.error is None:
             self._reactor.run()
@@ -121,7 +122,7 @@
             raise SettingsError(f"mgmt: {host}:{port}: {why}") from exc
         log.info("door", extra={"kv": {"at": host, "mgmt_port": listener.getHost().port}})
 
-    def _started(self) -> None:
+    def _on_running(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._on_stop)
         collect_garbage_by_timer(self._components.clock)
@@ -149,10 +150,10 @@
         log.info("reloaded", extra={"kv": kv})
         self._discovery_client.move(new.discovery)
 
-    def _on_show(self, number: int, frame: FrameType | None) -> None:
-        self._reactor.callFromThread(self._show)
+    def _on_log_counters(self, number: int, frame: FrameType | None) -> None:
+        self._reactor.callFromThread(self._log_counters)
 
-    def _show(self) -> None:
+    def _log_counters(self) -> None:
         components = self._components
         self._counters.show(
             "signal",
@@ -181,7 +182,7 @@
     def _out_of_service(self) -> bool:
         self._lifecycle.out_of_service(self._components.clock.now())
         self._takeover.pass_on(drain=True)
-        self._leavers.watch()
+        self._client_drain.watch()
         return True
 
     def _in_service(self) -> bool:
@@ -195,7 +196,7 @@
             log.info("stopping", extra={"kv": {"open": self._components.proxy.open}})
             if self._fleet_host is not None:
                 self._fleet_host.stop()
-            self._leavers.watch()
+            self._client_drain.watch()
 
     def _exit(self) -> None:
         """Shut down; no request can reach this process any more."""
