--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -223,17 +223,11 @@
         """The backends on the list."""
         found = []
         for item in self._discovery_client.snapshot()["targets"]:
-            name, state = str(item["uid"]), STATE_BY_NAME.get(item["state"])
-            server_state = "ready" if state is not None and state.name == "READY" else "draining"
-            started_ms = float(item.get("boot_ms") or 0.0)
+            name, listed = str(item["uid"]), STATE_BY_NAME.get(item["state"])
+            state = "ready" if listed is not None and listed.name == "READY" else "draining"
+            start = float(item.get("boot_ms") or 0.0)
             found.append(
-                ListedServer(
-                    name,
-                    str(item.get("az") or ""),
-                    server_state,
-                    self._servers.is_reachable(name),
-                    started_ms,
-                )
+                ListedServer(name, str(item.get("az") or ""), state, self._servers.is_reachable(name), start)
             )
         return found
 
--- a/tests/test_many_backends.py
+++ b/tests/test_many_backends.py
@@ -34,7 +34,7 @@
 
 
 class HeldRequests(ManyBackendsStage):
-    # Guards against held requests that poll every backend repeatedly, so that answers come too late.
+    # Guards against held requests that stay unanswered because each one checks every backend repeatedly.
     def test_a_hold_of_five_seconds_answers_every_request(self) -> None:
         member = self.start_process()
         member.frontends[0].script = deque((Reply(delay_s=5.0), Reply(delay_s=5.0), Reply(delay_s=5.0)))
