--- a/tests/many_backends.py
+++ b/tests/many_backends.py
@@ -63,7 +63,7 @@
         load = OpenLoad(member.port, **{"per_second": PER_SECOND, **more})  # type: ignore[arg-type]
         load.play(seconds)
         self.process, self.log = member.process, member.log
-        print(f"longest turn of the event loop: {self.gauges()['longest_turn_ever_ms']} ms")
+        print(f"longest iteration of the event loop: {self.gauges()['longest_turn_ever_ms']} ms")
         self.assert_none_lost(load)
         return load
 
--- a/tests/memory_reactor.py
+++ b/tests/memory_reactor.py
@@ -60,7 +60,7 @@
         """The time of the next timer, in seconds."""
         return min((call.time for call in self._calls), default=None) if self._calls else None
 
-    def turn(self) -> bool:
+    def iterate(self) -> bool:
         """Run one iteration; returns whether it did anything."""
         now = self.seconds()
         due = sorted((call for call in self._calls if call.time <= now), key=lambda call: call.time)
--- a/tests/production_table.py
+++ b/tests/production_table.py
@@ -1,8 +1,8 @@
-"""What real processes need with 200 and with 3,200 backends: ``python -m tests.production_table 6 30 20``.
+"""Resources that real processes use with 200 and with 3,200 backends.
 
-Words: processes, requests a second of each, seconds. The processes play one after the other with the usual
-number of backends and with sixteen times as many, the same traffic; the rows are those of the operators' page
-on production, each with its bound.
+Run as ``python -m tests.production_table 6 30 20``: processes, requests per second to each, seconds. The same
+traffic runs first with the usual number of backends and then with sixteen times as many. The rows are those
+of the operators' page on production, each checked against its bound.
 """
 
 from __future__ import annotations
--- a/tests/test_memory_net.py
+++ b/tests/test_memory_net.py
@@ -36,17 +36,17 @@
         factory = ClientFactory()
         factory.buildProtocol = lambda addr: self.protocol  # type: ignore[method-assign]
         self.reactor.connectTCP("10.0.0.1", 1, factory)
-        self.reactor.turn()
+        self.reactor.iterate()
 
     def test_data_is_written_in_the_next_iteration_or_by_a_call(self) -> None:
         self.protocol.transport.write(b"a")
         self.assertEqual(self.sent, [])
-        self.reactor.turn()
+        self.reactor.iterate()
         self.assertEqual(self.sent, [b"a"])
         self.protocol.transport.write(b"b")
         self.protocol.transport.doWrite()
         self.assertEqual(self.sent, [b"a", b"b"])
-        self.assertFalse(self.reactor.turn())
+        self.assertFalse(self.reactor.iterate())
 
     def test_a_pull_producer_is_resumed_at_once_and_again_after_the_write(self) -> None:
         asked = list[int]()
@@ -61,10 +61,10 @@
         self.protocol.transport.registerProducer(Producer(), False)
         self.assertEqual(asked, [0])
         self.protocol.transport.write(b"a")
-        self.reactor.turn()
+        self.reactor.iterate()
         self.assertEqual(asked, [0, 1])
         self.protocol.transport.abortConnection()
-        self.reactor.turn()
+        self.reactor.iterate()
         self.assertEqual(asked, [0, 1, -1])
 
     def test_a_peek_consumes_nothing_and_a_read_may_precede_the_iteration(self) -> None:
@@ -78,14 +78,14 @@
         self.assertEqual(self.protocol.received, [b"abc"])
         self.link.end()
         self.assertEqual(handle.recv(1, socket.MSG_PEEK), b"")
-        self.reactor.turn()
+        self.reactor.iterate()
         self.assertEqual(self.protocol.received, [b"abc", "ConnectionDone"])
         self.assertTrue(self.link.closed)
 
     def test_a_reset_discards_what_lies_unread(self) -> None:
         self.link.put(b"abc")
         self.link.reset()
-        self.reactor.turn()
+        self.reactor.iterate()
         self.assertEqual(self.protocol.received, ["ConnectionLost"])
 
     def test_an_abort_ends_it_a_turn_later_and_nothing_more_is_read_or_written(self) -> None:
@@ -93,7 +93,7 @@
         self.protocol.transport.abortConnection()
         self.link.put(b"abc")
         self.assertEqual(self.protocol.received, [])
-        self.reactor.turn()
+        self.reactor.iterate()
         self.assertEqual((self.protocol.received, self.sent), (["ConnectionAborted"], []))
 
     def test_during_a_pause_in_a_clock_read_the_environment_goes_on(self) -> None:
