--- a/tests/discovery_drive.py
+++ b/tests/discovery_drive.py
@@ -118,7 +118,7 @@
                     self._plan.pop(0)[1]()
                 if next_request <= self.clock.now:
                     next_request = self.clock.now + self._send_request()
-                if self._reactor is None or not self._reactor.turn():
+                if self._reactor is None or not self._reactor.iterate():
                     self._jump(next_request)
         return self._result()
 
