--- a/.ci/files.py
+++ b/.ci/files.py
@@ -1,7 +1,8 @@
-"""Bounds on the files: the policy's columns, and a ratchet on long files. One line a fault.
+"""Checks the size of source files; prints one line for each fault and exits with 1 if there are any.
 
-The policy files of deploy/balancer.toml name the whole decision package and have 110 columns. No Python file
-has over 250 lines but those in .ci/large-files, each with the count it had: they may only shrink.
+The files under policy in deploy/balancer.toml have to name the whole decision package, with at most 110
+columns. No Python file may have more than 250 lines, except those listed in .ci/large-files with their
+present number of lines, which may only shrink.
 """
 
 from __future__ import annotations
@@ -11,43 +12,43 @@
 import tomllib
 from pathlib import Path
 
-MOST_COLUMNS, MOST_LINES = 110, 250
+MAX_COLUMNS, MAX_LINES = 110, 250
 LIST = ".ci/large-files"
 
 
 def policy_faults(files: dict[str, str], package: set[str]) -> list[str]:
-    """Faults of the policy's files, path to text; ``package``: the decision package's files as they stand."""
+    """Check the files named under policy, path to text; ``package``: the files of the decision package."""
     faults = [
         f"{path} is not named under policy in deploy/balancer.toml" for path in sorted(package - files.keys())
     ]
     for path, text in files.items():
         for number, line in enumerate(text.splitlines(), 1):
-            if len(line) > MOST_COLUMNS:
-                faults.append(f"{path}:{number} has {len(line)} columns, {MOST_COLUMNS} at most")
+            if len(line) > MAX_COLUMNS:
+                faults.append(f"{path}:{number} has {len(line)} columns, {MAX_COLUMNS} at most")
     return faults
 
 
 def ratchet_faults(counts: dict[str, int], listed: dict[str, int]) -> list[str]:
-    """Faults of all files, path to its number of lines, against the list of those that may be long."""
+    """Check all files, given as path to number of lines, against the list of long files."""
     faults = []
     for path, lines in sorted(counts.items()):
         known = listed.get(path)
-        if known is None and lines > MOST_LINES:
-            faults.append(f"{path} has {lines} lines, {MOST_LINES} at most: split it by concern")
+        if known is None and lines > MAX_LINES:
+            faults.append(f"{path} has {lines} lines, {MAX_LINES} at most: split it by concern")
         elif known is not None and lines > known:
             faults.append(
-                f"{path} grew from {known} to {lines} lines: a file over {MOST_LINES} may only shrink"
+                f"{path} grew from {known} to {lines} lines: a file over {MAX_LINES} may only shrink"
             )
-        elif known is not None and MOST_LINES < lines < known:
+        elif known is not None and MAX_LINES < lines < known:
             faults.append(f"{path} has shrunk to {lines} lines: put {lines} for {known} in {LIST}")
     for path in sorted(listed):
-        if counts.get(path, 0) <= MOST_LINES:
-            faults.append(f"{path} is no longer over {MOST_LINES} lines: take it out of {LIST}")
+        if counts.get(path, 0) <= MAX_LINES:
+            faults.append(f"{path} is no longer over {MAX_LINES} lines: take it out of {LIST}")
     return faults
 
 
 def main() -> int:
-    """Look at the repository this file is in."""
+    """Check the repository that contains this file."""
     root = Path(__file__).resolve().parent.parent
     named = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
     package = {str(path.relative_to(root)) for path in (root / "lupinlink" / "brain").rglob("*.py")}
--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that are known to fail for a real fault: KNOWN-RED.txt, one line each: test, cause, issue.
+"""Checks KNOWN-RED.txt, the list of tests that are known to fail because of a real fault.
 
-Prints the lines, and with ``--options`` what pytest has to be told to pass over just these. A line is
-``tests/test_x.py::Class::test_name, cause, issue NN``. Ends with 1 where there are more than three, or where
-one names no test.
+Each line is ``tests/test_x.py::Class::test_name, cause, issue NN``. Prints the tests or, with ``--options``,
+the pytest options that deselect just these. Exits with 1 if there are more than three lines, or if one is
+incomplete or names no test.
 """
 
 from __future__ import annotations
@@ -11,28 +11,28 @@
 import sys
 from pathlib import Path
 
-MOST, LIST = 3, "KNOWN-RED.txt"
+MAX_TESTS, LIST = 3, "KNOWN-RED.txt"
 
 
 def tests_of(path: Path) -> set[str]:
-    """The tests that stand in a file, as ``Class::test`` or ``test``."""
+    """Return the tests defined in a file, as ``Class::test`` or ``test``."""
     if not path.is_file():
         return set()
     tree, found = ast.parse(path.read_text()), set()
     for node in tree.body:
-        inner = node.body if isinstance(node, ast.ClassDef) else [node]
+        items = node.body if isinstance(node, ast.ClassDef) else [node]
         prefix = f"{node.name}::" if isinstance(node, ast.ClassDef) else ""
-        for one in inner:
-            if isinstance(one, ast.FunctionDef | ast.AsyncFunctionDef) and one.name.startswith("test"):
-                found.add(prefix + one.name)
+        for item in items:
+            if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef) and item.name.startswith("test"):
+                found.add(prefix + item.name)
     return found
 
 
 def read(root: Path) -> tuple[list[str], list[str]]:
-    """The tests that the list names, and its faults, a line each."""
+    """Return the tests that the list names, and its faults, one line each."""
     path = root / LIST
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
-    faults = [f"{LIST} has {len(lines)} lines, {MOST} at most"] if len(lines) > MOST else []
+    faults = [f"{LIST} has {len(lines)} lines, {MAX_TESTS} at most"] if len(lines) > MAX_TESTS else []
     names = []
     for number, line in enumerate(lines, 1):
         name, cause, issue = [*(part.strip() for part in line.split(",")), "", ""][:3]
@@ -46,7 +46,7 @@
 
 
 def main() -> int:
-    """Look at the repository this file is in."""
+    """Check the repository that contains this file."""
     names, faults = read(Path(__file__).resolve().parent.parent)
     for fault in faults:
         print(fault, file=sys.stderr)
--- a/.ci/smoke.py
+++ b/.ci/smoke.py
@@ -1,4 +1,4 @@
-"""Build and start adapter and proxy as deploy/balancer.toml says; each has to show that it works."""
+"""Smoke test: builds and starts the adapter and the proxy with the commands of deploy/balancer.toml."""
 
 import json
 import os
@@ -20,16 +20,16 @@
 SUBMIT node_0 00000000000000aa 0 - - 1100.0 - 0 0
 YOUR_TURN
 """
-done = subprocess.run(
+adapter = subprocess.run(
     ["/bin/sh", "-c", deploy["sim"]], cwd=root, input=batch, capture_output=True, text=True, timeout=60
 )
-lines = done.stdout.splitlines()
+lines = adapter.stdout.splitlines()
 if (
-    done.returncode
+    adapter.returncode
     or "SUBMIT_TO node_0 00000000000000aa server.a 1000.000" not in lines
     or lines[-1] != "YIELD"
 ):
-    sys.exit(f"adapter failed: {done.returncode} {done.stdout!r} {done.stderr!r}")
+    sys.exit(f"adapter failed: {adapter.returncode} {adapter.stdout!r} {adapter.stderr!r}")
 print("deploy/balancer.toml starts the adapter; a small batch was answered")
 
 config = {
@@ -45,11 +45,12 @@
         ["/bin/sh", "-c", deploy["run"]], cwd=root, env=env, stderr=subprocess.PIPE, text=True
     )
     assert proxy.stderr is not None
-    said: list[str] = []
-    while not said or (said[-1] and "msg=serving" not in said[-1]):  # its end is an empty line
-        said.append(proxy.stderr.readline())
+    log_lines: list[str] = []
+    # readline returns an empty text at the end of the output.
+    while not log_lines or (log_lines[-1] and "msg=serving" not in log_lines[-1]):
+        log_lines.append(proxy.stderr.readline())
     proxy.terminate()
     rest = proxy.communicate(timeout=60)[1]
-if "msg=serving" not in said[-1] or proxy.returncode:
-    sys.exit(f"proxy failed: {proxy.returncode} {said!r} {rest!r}")
+if "msg=serving" not in log_lines[-1] or proxy.returncode:
+    sys.exit(f"proxy failed: {proxy.returncode} {log_lines!r} {rest!r}")
 print("deploy/balancer.toml starts the proxy; it served and ended on SIGTERM")
--- a/tests/test_recent_use.py
+++ b/tests/test_recent_use.py
@@ -1,4 +1,4 @@
-"""Servers used lately, and how many connections a node among thousands of servers needs."""
+"""Preference for recently used servers, which limits new connections among thousands of servers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tests.helpers import SAFE, NodeHarness, sends
 
 USUAL, MANY = 200, 3200
-MOST_CONNECTIONS = 2.5  # times as many as with the usual number of servers
-REST_MS = 6000.0  # so long does a connection rest open, of the ten seconds that the settings allow
+MAX_CONNECTION_RATIO = 2.5  # to the number of connections with the usual number of servers
+IDLE_MS = 6000.0  # how long an idle connection stays open; the settings allow ten seconds
 
 
-def test_those_first_used_lately_are_drawn_alike_and_others_forgotten() -> None:
+def test_recent_items_are_drawn_uniformly_and_others_are_forgotten() -> None:
     recent, rng = RecentUse[int](1000.0), Random(1)
     for item in range(10):
         recent.used(item, 100.0 * item)
-    recent.used(1, 900.0)  # prolongs nothing
+    recent.used(1, 900.0)  # a further use does not extend the time
     drawn = Counter(recent.draw(rng.random(), 1250.0) for _ in range(7000))
     assert set(drawn) == {3, 4, 5, 6, 7, 8, 9} and recent.count(1250.0) == 7
     assert max(drawn.values()) < 1.3 * min(drawn.values())
@@ -29,25 +29,25 @@
 
 
 def connections(servers: int, per_second: float, seconds: float) -> int:
-    """How many a node makes whose requests take 20 ms each."""
+    """The number of new connections of one node, whose requests take 20 ms each."""
     harness = NodeHarness(Settings(classes=(SAFE,), peers=6), "")
     harness.now = 1e12
     harness.discover([Endpoint(f"s-{i}") for i in range(servers)])
     used_at, made = dict[str, float](), 0
     for number in range(int(per_second * seconds)):
         (send,) = sends(harness.ask(str(number)))
-        made += harness.now - used_at.get(send.endpoint, 0.0) > REST_MS
+        made += harness.now - used_at.get(send.endpoint, 0.0) > IDLE_MS
         harness.advance_to(harness.now + 1000.0 / per_second)
         harness.end(str(number), Status.OK, send.endpoint)
         used_at[send.endpoint] = harness.now
     return made
 
 
-# Guards against a new connection for nearly each request, because there are so many servers to choose from.
+# With many servers to choose from, nearly each request would need a new connection.
 def test_many_servers_need_few_more_connections() -> None:
     for per_second in (10.0, 50.0, 120.0):
         usual, many = (connections(servers, per_second, 20.0) for servers in (USUAL, MANY))
-        assert many <= MOST_CONNECTIONS * usual + 40, (per_second, usual, many)
+        assert many <= MAX_CONNECTION_RATIO * usual + 40, (per_second, usual, many)
 
 
 def test_all_of_many_servers_are_used_in_the_long_run() -> None:
