--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: codec, isolation, determinism, plain messages on bad input."""
+"""The simulator's adapter: its protocol, isolation of nodes, determinism, and messages on invalid input."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 def run(text: str) -> str:
-    sink = io.StringIO()
-    NodeHost().serve(io.StringIO(text), sink)
-    return sink.getvalue()
+    output = io.StringIO()
+    NodeHost().serve(io.StringIO(text), output)
+    return output.getvalue()
 
 
 def batch(now: float, body: str) -> str:
     return f"BEGIN_BATCH {now}\n{body}YOUR_TURN\n"
 
 
-DAY = (
+BATCHES = (
     batch(0.0, create("node_1"))
     + batch(5.0, "SUBMIT node_1 00aa 0 - - 1005.0 - 0 0\n")
     + batch(25.0, "RESOLVED node_1 00aa OK 18.5 0 1 server.a rif:3,new:9\n")
@@ -57,18 +57,18 @@
 
 
 def test_a_request_is_sent_and_each_batch_answered() -> None:
-    reply = run(DAY)
+    reply = run(BATCHES)
     assert reply.count("YIELD\n") == 4 and "SUBMIT_TO node_1 00aa server." in reply
 
 
-def test_same_actions_alone_or_together() -> None:
+def test_a_node_acts_the_same_alone_or_beside_another() -> None:
     def renamed(text: str) -> str:
         return text.replace("node_1", "node_2")
 
     body = create("node_1") + create("node_2")
-    asks = "".join(f"SUBMIT node_1 {i:04x} 0 - - 2000.0 - 0 0\n" for i in range(20))
-    both = run(batch(0.0, body) + batch(1.0, asks + renamed(asks)))
-    alone = run(batch(0.0, create("node_1")) + batch(1.0, asks))
+    requests = "".join(f"SUBMIT node_1 {i:04x} 0 - - 2000.0 - 0 0\n" for i in range(20))
+    both = run(batch(0.0, body) + batch(1.0, requests + renamed(requests)))
+    alone = run(batch(0.0, create("node_1")) + batch(1.0, requests))
     assert [x for x in both.splitlines() if " node_1 " in x] == [
         x for x in alone.splitlines() if " node_1 " in x
     ]
@@ -100,18 +100,18 @@
     assert done.stderr.startswith("lupinlink: line ") and done.stderr.count("\n") == 1
 
 
-def test_a_failing_decision_is_reported_for_its_instance() -> None:
+def test_an_exception_in_the_decision_module_is_reported_for_its_node() -> None:
     reply = run(batch(0.0, create("node_1") + "SUBMIT node_1 00aa 5 - - 1.0 - 0 0\n"))
     assert "BROKEN node_1 IndexError" in reply and reply.endswith("YIELD\n")
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.text(alphabet="SUBMITRESOLVD node_1 0a:-.5\n{}", max_size=120))
-def test_fuzzed_lines_never_leave_half_a_reply(noise: str) -> None:
-    sink = io.StringIO()
+def test_fuzzed_lines_never_produce_a_partial_reply(noise: str) -> None:
+    output = io.StringIO()
     with contextlib.suppress(SimulatorProtocolError, ValueError, KeyError, IndexError):
-        NodeHost().serve(io.StringIO(batch(0.0, create("node_1")) + batch(1.0, noise + "\n")), sink)
-    assert sink.getvalue().endswith("YIELD\n")
+        NodeHost().serve(io.StringIO(batch(0.0, create("node_1")) + batch(1.0, noise + "\n")), output)
+    assert output.getvalue().endswith("YIELD\n")
 
 
 def test_readme_example_runs() -> None:
--- a/tests/test_ci_files.py
+++ b/tests/test_ci_files.py
@@ -1,4 +1,4 @@
-"""The checks in .ci, on files and on the list of known red tests: what passes, and each fault by its line."""
+"""The checks in .ci of file sizes and of the list of known failing tests: what passes, and each fault."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     return module
 
 
-CHECK, RED = load("files"), load("known_red")
+FILES, KNOWN_RED = load("files"), load("known_red")
 
 
 @pytest.mark.parametrize(
-    "lines, listed, said",
+    "lines, listed, fault",
     [
         (250, None, ""),
         (251, None, "a.py has 251 lines, 250 at most: split it by concern"),
@@ -34,34 +34,34 @@
         (None, 300, "a.py is no longer over 250 lines: take it out of .ci/large-files"),
     ],
 )
-def test_a_long_file_may_only_shrink(lines: int | None, listed: int | None, said: str) -> None:
+def test_a_long_file_may_only_shrink(lines: int | None, listed: int | None, fault: str) -> None:
     counts, known = ({} if n is None else {"a.py": n} for n in (lines, listed))
-    assert CHECK.ratchet_faults(counts, known) == ([said] if said else [])
+    assert FILES.ratchet_faults(counts, known) == ([fault] if fault else [])
 
 
-def test_the_policy_is_whole_and_within_its_columns() -> None:
-    text = "x\n \n" * 300  # how long the package is in all is no fault; each file has its bound as any other
-    assert CHECK.policy_faults({"a.py": text, "b.py": text}, {"a.py", "b.py"}) == []
-    (unnamed,) = CHECK.policy_faults({"a.py": text}, {"a.py", "b.py"})
+def test_the_policy_names_all_files_and_limits_their_columns() -> None:
+    text = "x\n \n" * 300  # the total length is not limited here, only that of each file
+    assert FILES.policy_faults({"a.py": text, "b.py": text}, {"a.py", "b.py"}) == []
+    (unnamed,) = FILES.policy_faults({"a.py": text}, {"a.py", "b.py"})
     assert unnamed == "b.py is not named under policy in deploy/balancer.toml"
-    (wide,) = CHECK.policy_faults({"a.py": "\n" + "é" * 111}, {"a.py"})
+    (wide,) = FILES.policy_faults({"a.py": "\n" + "é" * 111}, {"a.py"})
     assert wide == "a.py:2 has 111 columns, 110 at most"
 
 
 def test_the_list_of_known_red_tests_is_short_and_names_tests(tmp_path: Path) -> None:
-    assert RED.read(tmp_path) == ([], [])  # no list: nothing is passed over
+    assert KNOWN_RED.read(tmp_path) == ([], [])  # without a list no test is deselected
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "test_x.py").write_text("class A:\n    def test_a(self): ...\ndef test_b(): ...\n")
     row = "tests/test_x.py::A::test_a, a lost reset, issue 30\n"
     listed = tmp_path / "KNOWN-RED.txt"
     listed.write_text(2 * row + "tests/test_x.py::test_b, a lost reset, issue 30\n")
-    names, faults = RED.read(tmp_path)
+    names, faults = KNOWN_RED.read(tmp_path)
     assert (len(names), faults) == (3, [])
     listed.write_text(4 * row)
-    assert RED.read(tmp_path)[1] == ["KNOWN-RED.txt has 4 lines, 3 at most"]
+    assert KNOWN_RED.read(tmp_path)[1] == ["KNOWN-RED.txt has 4 lines, 3 at most"]
     for line in ("tests/test_x.py::test_a, cause, issue 30", "tests/test_x.py, cause, issue 30", "all, c, i"):
         listed.write_text(line)
         name = line.partition(",")[0]
-        assert RED.read(tmp_path)[1] == [f"KNOWN-RED.txt:1: {name!r} names no test"]
+        assert KNOWN_RED.read(tmp_path)[1] == [f"KNOWN-RED.txt:1: {name!r} names no test"]
     listed.write_text("tests/test_x.py::test_b, no issue")
-    assert RED.read(tmp_path)[1] == ["KNOWN-RED.txt:1: wanted are test, cause, issue"]
+    assert KNOWN_RED.read(tmp_path)[1] == ["KNOWN-RED.txt:1: wanted are test, cause, issue"]
--- a/tests/test_weighted_buckets.py
+++ b/tests/test_weighted_buckets.py
@@ -1,4 +1,4 @@
-"""Weighted draws in buckets, against plain sums: by chance, by key, and as items come and go."""
+"""Weighted selection from buckets: at random, by key, and while items are added and removed."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 @hypothesis_settings(deadline=None)
 @given(STEPS, st.sampled_from([1, 200, 700, 1500]), st.floats(0.0, 1.0, exclude_max=True))
-def test_whoever_comes_and_goes_the_draw_is_of_those_that_are_here(
+def test_only_present_items_are_drawn_while_items_come_and_go(
     steps: list[tuple[str, int]], count: int, share: float
 ) -> None:
-    buckets, here = filled(count), set(range(count))
+    buckets, present = filled(count), set(range(count))
     for step, item in steps:
-        if step == "add" and item not in here:
+        if step == "add" and item not in present:
             buckets.add(item, salt(f"s-{item}"), 2.0)
-            here.add(item)
+            present.add(item)
         elif step == "remove":
             buckets.remove(item)
-            here.discard(item)
-        elif step == "set" and item in here:
+            present.discard(item)
+        elif step == "set" and item in present:
             buckets.set(item, 3.0)
-    assert set(buckets) == here and len(buckets) == len(here)
-    if here:
-        assert buckets.draw(share) in here
-        assert set(buckets.preferred(hash_key("k"), 1, 8, share)) <= here
+    assert set(buckets) == present and len(buckets) == len(present)
+    if present:
+        assert buckets.draw(share) in present
+        assert set(buckets.preferred(hash_key("k"), 1, 8, share)) <= present
 
 
 def test_items_are_drawn_by_their_weights_among_thousands() -> None:
@@ -55,7 +55,7 @@
     assert abs(first[0] / 8000 - 0.9) < 0.03
 
 
-def test_a_lost_item_moves_few_keys_but_its_own() -> None:
+def test_a_removed_item_moves_few_keys_besides_its_own() -> None:
     buckets = filled(MANY)
     before = [buckets.preferred(hash_key(f"key-{i}"), 1, 8, 0.0)[0] for i in range(8000)]
     buckets.remove(7)
@@ -64,7 +64,7 @@
     assert 7 not in after and len(moved) < 5 * 8000 / MANY
 
 
-def test_processes_that_met_the_items_in_another_order_agree_on_a_keys_home() -> None:
+def test_the_items_of_a_key_do_not_depend_on_the_order_of_insertion() -> None:
     one, other = filled(MANY), WeightedBuckets[int]()
     for item in Random(1).sample(range(MANY), MANY):
         other.add(item, salt(f"s-{item}"), 1.0)
@@ -74,15 +74,15 @@
         )
 
 
-# Guards against a key that is asked for so often that one bucket's servers would bear it all.
-def test_a_hot_keys_homes_lie_in_several_buckets() -> None:
+# If all servers of a very popular key were in one bucket, they would have to take all of its requests.
+def test_the_items_of_a_popular_key_are_in_several_buckets() -> None:
     buckets, rng = filled(MANY), Random(1)
-    homes = {buckets.preferred(hash_key("hot"), 640, 8, rng.random())[0] for _ in range(20000)}
-    assert 0.9 * 640 < len(homes) < 1.2 * 640
+    preferred = {buckets.preferred(hash_key("hot"), 640, 8, rng.random())[0] for _ in range(20000)}
+    assert 0.9 * 640 < len(preferred) < 1.2 * 640
 
 
-def test_a_bucket_is_bounded() -> None:
+def test_the_size_of_a_bucket_is_bounded() -> None:
     buckets = filled(MANY)
-    in_turn = [buckets.bucket_items(turn) for turn in range(MANY // MAX_MEAN_BUCKET_SIZE + 4)]
-    assert max(map(len, in_turn)) < 2 * MAX_MEAN_BUCKET_SIZE
-    assert set().union(*in_turn) == set(range(MANY))
+    buckets_in_turn = [buckets.bucket_items(turn) for turn in range(MANY // MAX_MEAN_BUCKET_SIZE + 4)]
+    assert max(map(len, buckets_in_turn)) < 2 * MAX_MEAN_BUCKET_SIZE
+    assert set().union(*buckets_in_turn) == set(range(MANY))
