--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -63,9 +63,9 @@
             components.lifecycle,
             components.discovery_client,
         )
-        self._leavers = ClientDrain(components, self._exit)
+        self._client_drain = ClientDrain(components, self._exit)
         self._takeover = ListenerTakeover(
-            config, limits, capacity, components, self._set_drained, self._leavers.watch
+            config, limits, capacity, components, self._set_drained, self._client_drain.start
         )
         calls: dict[str, dict[str, Handler]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
@@ -181,7 +181,7 @@
     def _out_of_service(self) -> bool:
         self._lifecycle.out_of_service(self._components.clock.now())
         self._takeover.pass_on(drain=True)
-        self._leavers.watch()
+        self._client_drain.start()
         return True
 
     def _in_service(self) -> bool:
@@ -195,7 +195,7 @@
             log.info("stopping", extra={"kv": {"open": self._components.proxy.open}})
             if self._fleet_host is not None:
                 self._fleet_host.stop()
-            self._leavers.watch()
+            self._client_drain.start()
 
     def _exit(self) -> None:
         """Shut down; no request can reach this process any more."""
