--- a/tests/answering_backend.py
+++ b/tests/answering_backend.py
@@ -28,7 +28,7 @@
 
 
 class AnsweringBackend:
-    """The process, as the tests' other backends look."""
+    """The process, with the interface of the tests' other backends."""
 
     def __init__(self) -> None:
         words = [sys.executable, "-m", "tests.answering_backend"]
@@ -42,7 +42,7 @@
 
 
 async def serve() -> None:
-    """Print the port, and answer until the end."""
+    """Print the port, then serve until the process is killed."""
     server = await asyncio.get_running_loop().create_server(Answering, "127.0.0.1", 0, backlog=1024)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
--- a/tests/loopback_servers.py
+++ b/tests/loopback_servers.py
@@ -1,4 +1,4 @@
-"""What stands around a proxy on loopback in the process tests: application servers and discovery."""
+"""Application servers and a discovery on loopback, for tests with a real proxy process."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from contextlib import suppress
 from typing import Any
 
-WAIT = 10.0  # so long may anything take before a test gives up on it
+WAIT = 10.0  # seconds until a test gives up waiting for something
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 NEVER_RAN = b"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 BROKEN_BYTES = b"\x00\xffnothing of HTTP\r\n\r\n"
 
 
 class LoopbackServer:
-    """A listening socket with a thread for each connection; ``ends`` gets a token as each one ends."""
+    """A listening socket with a thread per connection; ``ends`` gets the number of each one that ends."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -50,15 +50,15 @@
 
 
 def reset(connection: socket.socket) -> None:
-    """End it with a reset."""
+    """Close a connection with a reset."""
     with suppress(OSError):
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        connection.shutdown(socket.SHUT_RD)  # wakes who waits on it; its end is then a reset
+        connection.shutdown(socket.SHUT_RD)  # wakes threads that wait on it; the close below is a reset then
         connection.close()
 
 
 def read_request(stream: Any) -> tuple[str, dict[str, str], bytes] | None:
-    """One request off a socket's file: first line, headers, body."""
+    """Read one request from a socket's file: first line, headers, body; None at the end."""
     line = stream.readline().decode().strip()
     if not line:
         return None
@@ -67,7 +67,7 @@
         length = int(headers.get("content-length", 0))
         body = stream.read(length)
         return (line, headers, body) if len(body) == length else None
-    pieces = []  # joined once: adding 32 MB up piece by piece takes seconds where memory is slow
+    pieces = []  # joined once, as appending 32 MB piece by piece can take seconds
     while size := int(stream.readline().strip() or b"0", 16):
         pieces.append(stream.read(size))
         stream.readline()
@@ -76,7 +76,7 @@
 
 
 class ApplicationServer(LoopbackServer):
-    """Answers as told: bytes are sent, None is silence, b"" or what says close ends the connection."""
+    """Sends what ``answer`` returns; b"" or Connection: close ends the connection, None sends nothing."""
 
     def __init__(self, answer: bytes | None = OK) -> None:
         self.answer: Callable[[dict[str, str]], bytes | None] = lambda headers: answer
@@ -97,7 +97,7 @@
 
 
 class Discovery(LoopbackServer):
-    """Holds watches open; ``asked`` tells of each call, ``list`` is the whole list (None: silence)."""
+    """Keeps watches open; ``asked``: first line of each call, ``list``: the full list (None: no answer)."""
 
     def __init__(self) -> None:
         self.list: dict[str, Any] | None = None
--- a/tests/manual_reactor.py
+++ b/tests/manual_reactor.py
@@ -1,4 +1,4 @@
-"""What happens within one turn of the reactor: a pool of one application server, turned by hand."""
+"""A pool of one application server on a reactor that the test iterates, to force an order of events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ManualReactorTest(unittest.TestCase):
-    """One pool on a reactor that turns only when told to."""
+    """One pool on a reactor that only runs when the test iterates it."""
 
     def setUp(self) -> None:
         self.loop = test_crossing_answers.Crossings()
@@ -22,35 +22,35 @@
         self.addCleanup(self.loop.doCleanups)
         self.servers, self.reactor = self.loop.servers, self.loop.reactor
 
-    def learn(self, state: EndpointState = EndpointState.READY, **more: Any) -> None:
+    def update_server(self, state: EndpointState = EndpointState.READY, **more: Any) -> None:
         host, port = more.pop("address", self.loop.listener.getsockname())
         self.servers.update_list([(Endpoint("s-1", state=state, **more), host, port)], False)
 
     def drain(self) -> None:
-        self.learn(EndpointState.DRAINING)
+        self.update_server(EndpointState.DRAINING)
 
-    def turn(self, times: int = 5) -> None:
+    def iterate(self, times: int = 5) -> None:
         for _ in range(times):
             self.reactor.iterate(0.01)
 
     def until_ended(self, ends: list[AttemptResult]) -> None:
-        self.loop.turn_until(lambda: ends)
+        self.loop.iterate_until(lambda: ends)
 
-    def came(self, server: socket.socket) -> bytes:
-        """What has reached the server by now, without a turn of the reactor."""
+    def received_by(self, server: socket.socket) -> bytes:
+        """What has reached the server by now, without an iteration of the reactor."""
         return server.recv(1 << 20) if select.select([server], [], [], 0)[0] else b""
 
     @staticmethod
     def end_of(server: socket.socket) -> bytes:
-        """What is still to come there once its connection is closed."""
+        """What the server still receives when its connection is closed; empty for a close or reset."""
         try:
             return server.recv(65536)
         except ConnectionResetError:
             return b""
 
 
-def news_that(act: Callable[[], object]) -> Callable[[], bool]:
-    """A look for news in which this happens, and all that has come is whole."""
+def update_that(act: Callable[[], object]) -> Callable[[], bool]:
+    """A ``read_pending_updates`` during which ``act`` happens, and that leaves no update incomplete."""
 
     def look() -> bool:
         act()
--- a/tests/open_load.py
+++ b/tests/open_load.py
@@ -1,4 +1,4 @@
-"""Load on one proxy that does not wait for answers, by clients of which some leave, and what became of it."""
+"""Open-loop load on one proxy (a fixed rate, whatever the answers), with some clients that leave early."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 from tests.drain_fleet import Receipt
 
-GIVES_UP_S = 0.5  # a client's wait beyond its time, after which its request is lost
-LEFT_S = 0.1  # an attempt that begins so long after its client's close is lost
-STAY_S = (0.02, 0.6)  # how long a client that leaves waits
+GIVES_UP_S = 0.5  # a request is lost if it has no answer this long after its time is over
+LEFT_S = 0.1  # an attempt may begin at most this long after its client has closed
+STAY_S = (0.02, 0.6)  # the range of waits of the clients that leave
 
 
 @dataclass(slots=True)
 class Sent:
-    """One request: what its client saw. Times are on the monotonic clock, in seconds."""
+    """One request, as its client saw it. Times are seconds of the monotonic clock."""
 
     trace: str
     sent_at: float
-    status: int = 0  # 0: no whole answer came
+    status: int = 0  # 0: no answer
     took_s: float = 0.0
-    left_at: float | None = None  # when its client closed, of one that left
+    left_at: float | None = None  # when its client left; None: it stayed
 
 
 @dataclass
 class OpenLoad:
-    """So many requests a second, each on a connection of its own."""
+    """Requests at a constant rate, each on a connection of its own."""
 
     port: int
     per_second: float
@@ -40,11 +40,11 @@
     sent: list[Sent] = field(default_factory=list)
 
     def play(self, seconds: float) -> None:
-        """Blocks until the last of these requests is over."""
+        """Play the load for that long; returns when its last request is over."""
         asyncio.run(self.play_here(seconds))
 
     async def play_here(self, seconds: float) -> None:
-        """The same in the event loop that runs."""
+        """As ``play``, in the running event loop."""
         rng, begin, tasks = Random(self.seed), time.monotonic(), []
         for number in range(int(seconds * self.per_second)):
             await asyncio.sleep(max(0.0, begin + number / self.per_second - time.monotonic()))
@@ -76,11 +76,11 @@
             await writer.wait_closed()
 
     def unanswered(self) -> list[Sent]:
-        """Those whose clients stayed and got no final answer."""
+        """The requests whose clients stayed and got no answer."""
         return [one for one in self.sent if not one.status and one.left_at is None]
 
     def sent_on_too_late(self, receipts: Iterable[Receipt]) -> list[str]:
-        """Attempts that began over ``LEFT_S`` after their client's close."""
+        """The attempts that began more than ``LEFT_S`` after their client had left."""
         left = {one.trace: one.left_at for one in self.sent if one.left_at is not None}
         return [
             f"{receipt.trace} {receipt.at - left[receipt.trace]:.3f} s after its client left"
@@ -89,5 +89,5 @@
         ]
 
     def statuses(self) -> Counter[int]:
-        """How many clients that stayed got which status; 0: none."""
+        """The statuses that the clients that stayed got, and how often; 0: no answer."""
         return Counter(one.status for one in self.sent if one.left_at is None)
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -1,4 +1,4 @@
-"""The shared helper of the process tests: the real program, between peers of its own."""
+"""The base of tests that run the real program as a process, with application servers and a discovery."""
 
 from __future__ import annotations
 
@@ -57,9 +57,9 @@
 
 
 class ProxyProcessTest(unittest.TestCase):
-    """A test with the real program running between peers of its own."""
+    """A test with the real program, and with application servers and a discovery of its own."""
 
-    module: ClassVar[str] = "lupinlink"  # what is run
+    module: ClassVar[str] = "lupinlink"  # the module that is run
     settings: ClassVar[dict[str, Any]] = {}
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
@@ -79,7 +79,7 @@
     def program(
         self, config: object, *words: str, env: dict[str, str] | None = None
     ) -> subprocess.Popen[str]:
-        """The real program as a process of its own."""
+        """Run the program with this configuration file."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = file = Path(folder.name) / "config.json"
@@ -95,7 +95,7 @@
         return process
 
     def start(self, *rows: dict[str, Any], env: dict[str, str] | None = None) -> None:
-        """Start it and wait until it says that it serves."""
+        """Start it and wait until it serves."""
         self.process, self.log = self.launch(self.config(*rows), env)
         if {**self.config(), **(env or {})}.keys() & {"mgmt", "LB_MGMT"}:
             self.door = int(self.line("msg=door").rsplit("mgmt_port=", 1)[1])
@@ -104,7 +104,7 @@
     def launch(
         self, config: dict[str, Any], env: dict[str, str] | None = None
     ) -> tuple[subprocess.Popen[str], queue.Queue[str]]:
-        """One more process of the program, and the queue that its log lines come to."""
+        """Start another process of the program; returns it and the queue of its log lines."""
         process = self.program(config, env=env)
         stderr = process.stderr
         assert stderr is not None
@@ -113,7 +113,7 @@
         return process, log
 
     def call(self, method: str, path: str) -> int:
-        """One operators' call: the status of its answer."""
+        """Make one call to the management API; returns the status."""
         connection = http.client.HTTPConnection("127.0.0.1", self.door, timeout=WAIT)
         try:
             connection.request(method, path)
@@ -122,20 +122,20 @@
             connection.close()
 
     def up(self) -> int:
-        """The status that a front is told."""
+        """The status of ``/up``, as a load balancer gets it."""
         client = self.client()
         client.request("GET", "/up")
         return client.getresponse().status
 
     def await_up(self) -> None:
-        """Wait until a front would send clients here."""
+        """Wait until ``/up`` answers 200."""
         until = time.monotonic() + WAIT
         while b" 200 " not in self.raw(UP):
             self.assertLess(time.monotonic(), until)
             time.sleep(POLL_S)
 
     def line(self, part: str, log: queue.Queue[str] | None = None) -> str:
-        """The next log line that holds ``part``, of this process or of the one whose ``log`` is given."""
+        """The next log line with ``part``, of this process or of the one whose ``log`` is given."""
         while part not in (text := (log or self.log).get(timeout=WAIT)):
             pass
         return text
@@ -148,7 +148,7 @@
     def ask(
         self, client: http.client.HTTPConnection | None = None, path: str = "/look/1", ms: int = 1500
     ) -> http.client.HTTPResponse:
-        """One request and its answer, the body still to be read."""
+        """Send one request; returns its answer, with the body still to be read."""
         client = client or self.client()
         self.send(client, path, ms)
         return client.getresponse()
@@ -161,14 +161,14 @@
             client.request("GET", path, headers=headers)
 
     def connect(self, data: bytes = b"") -> socket.socket:
-        """A connection that has written so much."""
+        """A connection on which this was written."""
         connection = socket.create_connection(("127.0.0.1", self.port), WAIT)
         self.addCleanup(connection.close)
         connection.sendall(data)
         return connection
 
     def raw(self, data: bytes, port: int = 0) -> bytes:
-        """What comes back on a connection of its own until the proxy ends it."""
+        """Send this on a new connection; returns what comes back until the proxy closes it."""
         with socket.create_connection(("127.0.0.1", port or self.port), WAIT) as connection:
             with suppress(ConnectionError):
                 connection.sendall(data)
@@ -178,13 +178,13 @@
             return got
 
     def gauges(self) -> dict[str, int]:
-        """The counters and the size of every table, as SIGUSR1 shows them."""
+        """The counters and the size of every table, as logged on SIGUSR1."""
         self.process.send_signal(signal.SIGUSR1)
         pairs = (pair.partition("=") for pair in self.line("msg=counters at=signal").split())
         return {name: int(value) for name, _, value in pairs if value.isdigit()}
 
     def settle(self, **wanted: int) -> dict[str, int]:
-        """Wait until these gauges read so."""
+        """Wait until these gauges have these values."""
         until = time.monotonic() + WAIT
         while any((now := self.gauges()).get(name, 0) != figure for name, figure in wanted.items()):
             self.assertLess(time.monotonic(), until, now)
@@ -193,7 +193,7 @@
     def answered_last(
         self, client: http.client.HTTPConnection, process: subprocess.Popen[str], log: queue.Queue[str]
     ) -> None:
-        """A resting connection gets that process's last answer, or was closed by it to make room."""
+        """Assert that an idle connection gets a last answer of this process, or was closed to make room."""
         try:
             answer = self.ask(client)
         except http.client.RemoteDisconnected:
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -1,7 +1,6 @@
-"""An answer's bytes, its connection's end and a time-out in one turn: on real sockets, in a forced order.
+"""An answer, the close of its connection and a time-out in one loop iteration, on real sockets.
 
-The order in which one turn of the event loop meets them cannot be forced from outside the process, so the
-loop is the test's own and is turned by hand.
+Their order within an iteration cannot be forced from outside the process, so the test iterates the reactor.
 """
 
 from __future__ import annotations
@@ -38,14 +37,14 @@
         told = Settings(classes=(RequestClass(300.0, 1000.0),), dial_timeout_ms=LONG_MS)
         self.clock = ReactorClock(self.reactor)
         self.servers = ApplicationServers(self.reactor, self.clock, told, 8, Counters())
-        self.learn()
+        self.update_server()
 
-    def learn(self) -> None:
+    def update_server(self) -> None:
         self.servers.update_list([(Endpoint("s-1"), *self.listener.getsockname())], True)
 
     def close_all(self) -> None:
         self.servers.close()
-        self.turn_until(lambda: not len(self.servers.connections))
+        self.iterate_until(lambda: not len(self.servers.connections))
 
     def close_loop(self) -> None:
         self.reactor.disconnectAll()
@@ -63,89 +62,90 @@
         attempt.ended.addCallback(ends.append)
         return attempt, ends
 
-    def turn_until(self, seen: Callable[[], object]) -> None:
+    def iterate_until(self, seen: Callable[[], object]) -> None:
         until = self.clock.now() + LONG_MS
         while not seen():
             self.assertLess(self.clock.now(), until)
             self.reactor.iterate(0.01)
 
-    def accepted(self) -> socket.socket:
-        """The server's end of the connection, which has the whole request."""
-        self.turn_until(lambda: select.select([self.listener], [], [], 0)[0])
+    def accept_request(self) -> socket.socket:
+        """The server's end of a new connection, once it has received the whole request."""
+        self.iterate_until(lambda: select.select([self.listener], [], [], 0)[0])
         server, _ = self.listener.accept()
         self.addCleanup(server.close)
         server.settimeout(WAIT)
-        self.asked(server)
+        self.receive_request(server)
         return server
 
-    def asked(self, server: socket.socket) -> None:
+    def receive_request(self, server: socket.socket) -> None:
         got = b""
         while not got.endswith(b"\r\n\r\n"):
-            self.turn_until(lambda: select.select([server], [], [], 0)[0])
+            self.iterate_until(lambda: select.select([server], [], [], 0)[0])
             got += (piece := server.recv(65536))
             self.assertTrue(piece, got)
 
     def idle_connection(self) -> tuple[socket.socket, Any]:
-        """A connection that stands idle in the pool: the server's end, and ours."""
+        """An idle connection of the pool: the server's end, and the proxy's."""
         _, ends = self.attempt()
-        server = self.accepted()
+        server = self.accept_request()
         server.sendall(OK)
-        self.turn_until(lambda: ends)
+        self.iterate_until(lambda: ends)
         self.assertEqual(ends[0].status, Status.OK)
         (pool,) = self.servers._pools.values()
         return server, pool.idle[0]
 
-    def unread(self, connection: Any) -> None:
-        """What the server sent is here, and not read."""
+    def wait_for_data(self, connection: Any) -> None:
+        """Wait until data of the server has arrived, without reading it."""
         self.assertTrue(select.select([connection.transport.getHandle()], [], [], WAIT)[0])
 
     def test_an_answer_that_is_here_goes_before_a_time_out_and_a_cancel(self) -> None:
         server, connection = self.idle_connection()
         for status in (Status.TIMEOUT, Status.CANCELLED):
             attempt, ends = self.attempt()
-            self.asked(server)
+            self.receive_request(server)
             server.sendall(OK)
-            self.unread(connection)
+            self.wait_for_data(connection)
             attempt.give_up(status)
             self.assertEqual([end.status for end in ends], [Status.OK])
             self.assertEqual(self.servers.gauges()["server_connections_idle"], 1)
 
     def test_a_time_out_of_the_last_attempt_does_not_end_the_next_on_its_connection(self) -> None:
-        # Timers that have come due together all run, also one that was dropped by the one before it.
+        # Timers that are due together all run, even one that another of them has dropped.
         server, connection = self.idle_connection()
         attempt, ends = self.attempt()
-        self.asked(server)
+        self.receive_request(server)
         server.sendall(OK[:-1])
-        self.turn_until(lambda: connection._progress_timer is not None)
+        self.iterate_until(lambda: connection._progress_timer is not None)
         late = connection._progress_timer.call
         server.sendall(OK[-1:])
-        self.unread(connection)
+        self.wait_for_data(connection)
         attempt.give_up(Status.TIMEOUT)
         _, next_ends = self.attempt()
         late()
-        self.asked(server)
+        self.receive_request(server)
         server.sendall(OK)
-        self.turn_until(lambda: next_ends)
+        self.iterate_until(lambda: next_ends)
         self.assertEqual([end.status for end in ends + next_ends], [Status.OK, Status.OK])
 
     def test_what_is_seen_but_cannot_be_read_holds_nothing_up(self) -> None:
-        # A look that sees what no read gives must not be repeated until one does.
+        # Data that a peek sees may not be readable yet: the connection must not loop until it is.
         server, connection = self.idle_connection()
         attempt, ends = self.attempt()
-        self.asked(server)
+        self.receive_request(server)
         looks = iter([b"x"] * 100)
-        connection._waits = lambda: next(looks)  # StopIteration: it looked on and on
+        connection._waits = lambda: next(looks)  # StopIteration: it loops
         attempt.give_up(Status.TIMEOUT)
         self.assertEqual([end.status for end in ends], [Status.TIMEOUT])
 
     def test_half_an_answer_is_given_up_and_its_end_is_on_the_wire_before_the_next(self) -> None:
         server, connection = self.idle_connection()
         attempt, ends = self.attempt()
-        self.asked(server)
+        self.receive_request(server)
         server.sendall(OK[:-1])
-        self.unread(connection)
+        self.wait_for_data(connection)
         ended_there: list[bytes] = []
-        attempt.ended.addCallback(lambda end: ended_there.append(server.recv(1)))  # without a turn between
+        # Called without an iteration of the reactor in between.
+        attempt.ended.addCallback(lambda end: ended_there.append(server.recv(1)))
         attempt.give_up(Status.TIMEOUT)
         server.sendall(OK[-1:])
         self.reactor.iterate(0)
@@ -158,14 +158,14 @@
                 server.sendall(cut)
             else:
                 server.shutdown(socket.SHUT_WR)
-            self.unread(connection)
+            self.wait_for_data(connection)
             _, ends = self.attempt()
-            other = self.accepted()
+            other = self.accept_request()
             other.sendall(OK)
-            self.turn_until(ends.copy)
+            self.iterate_until(ends.copy)
             self.assertEqual((ends[0].status, server.recv(1)), (Status.OK, b""))
             self.close_all()
-            self.learn()
+            self.update_server()
 
     def test_a_break_before_the_kernel_has_the_last_byte_proves_that_it_never_ran(self) -> None:
         server, connection = self.idle_connection()
@@ -173,21 +173,21 @@
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         body = b"x" * (3 * SMALL_BODY_BYTES)
         _, ends = self.attempt(body)
-        self.turn_until(lambda: select.select([server], [], [], 0)[0])
+        self.iterate_until(lambda: select.select([server], [], [], 0)[0])
         got = server.recv(1024)
         server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NOW)
         server.close()
-        self.turn_until(lambda: ends)
+        self.iterate_until(lambda: ends)
         self.assertLess(len(got), len(body))
         self.assertEqual(ends[0].status, Status.UNREACHABLE)
 
     def test_a_break_once_the_kernel_has_all_of_it_proves_nothing(self) -> None:
         server, _ = self.idle_connection()
         _, ends = self.attempt()
-        self.turn_until(lambda: select.select([server], [], [], 0)[0])  # it has come, and nobody reads it
+        self.iterate_until(lambda: select.select([server], [], [], 0)[0])  # it has arrived, and is not read
         server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NOW)
         server.close()
-        self.turn_until(lambda: ends)
+        self.iterate_until(lambda: ends)
         self.assertEqual(ends[0].status, Status.RESET)
 
 
--- a/tests/test_crossing_attempts.py
+++ b/tests/test_crossing_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt whose connection is long on its way up, against all that may come meanwhile."""
+"""Attempts whose connection takes long to be established, and what may happen in the meantime."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 )
 
 OLD = OK.replace(b"ok", b"no")
-# The first SYN to a full queue is dropped, and the kernel sends the next 1 s later: so long a dial takes at
-# least, and up to 3 s where the gate opens late.
+# The first SYN to a full accept queue is dropped, and the kernel retries after 1 s: so a connection takes at
+# least that long, and up to 3 s if the gate opens late.
 LONG = {"AimMs": 9000.0, "HardLimitMs": 9000.0}
 LIMITS = {"AttemptsCap": 3, "Cancel": True, "RetryAfter": True, "MaxRetryAfterMs": 2000.0}
 
 
-class Gated(ApplicationServer):
-    """No connection to it comes up before ``open``."""
+class GatedServer(ApplicationServer):
+    """No connection to it is established before ``open``."""
 
     def __init__(self, answer: bytes | None = OK) -> None:
         self.gate = threading.Event()
@@ -55,7 +55,7 @@
         super().close()
 
 
-class Slow(ProxyProcessTest):
+class SlowDialTest(ProxyProcessTest):
     settings: ClassVar[dict[str, Any]] = {
         "Classes": [
             {"Name": "look", "Effect": "pure", **LONG},
@@ -65,7 +65,7 @@
     }
 
     def dialling(self) -> None:
-        """Wait until a first SYN has met the full queue: a dial is counted a turn before it goes out."""
+        """Wait until a SYN has met the full queue: the dial is counted one iteration before it is sent."""
         self.settle(server_connections_now=1)
         self.gauges()
 
@@ -73,9 +73,9 @@
         watch.sendall(chunk(json.dumps(listing(42, False, *rows)) + "\n"))
 
 
-class Dialling(Slow):
+class Dialling(SlowDialTest):
     def test_a_server_drained_meanwhile_gets_no_byte_of_it(self) -> None:
-        gated, other = self.peer(Gated(OLD)), self.peer(ApplicationServer())
+        gated, other = self.peer(GatedServer(OLD)), self.peer(ApplicationServer())
         self.start(row("s-1", gated))
         watch, client = self.discovery.watch(), self.client()
         self.send(client, ms=9000)
@@ -87,7 +87,7 @@
         self.assertEqual(gated.seen.qsize(), 0)
 
     def test_a_process_replaced_meanwhile_gets_no_byte_of_it(self) -> None:
-        gated, other = self.peer(Gated(OLD)), self.peer(ApplicationServer())
+        gated, other = self.peer(GatedServer(OLD)), self.peer(ApplicationServer())
         self.start(row("s-1", gated))
         watch, client = self.discovery.watch(), self.client()
         self.send(client, ms=9000)
@@ -96,10 +96,10 @@
         self.settle(pools=2)
         gated.open()
         self.assertIn(client.getresponse().read(), (b"ok", b"no"))
-        self.settle(attempts_not_begun=1)  # to the old process; the new one may have the next
+        self.settle(attempts_not_begun=1)  # on the old process; the new one may get the next attempt
 
     def test_its_head_tells_the_time_that_is_left_when_it_is_written(self) -> None:
-        gated = self.peer(Gated())
+        gated = self.peer(GatedServer())
         self.start(row("s-1", gated))
         client = self.client()
         self.send(client, ms=9000)
@@ -109,7 +109,7 @@
         self.assertLess(int(gated.seen.get()[1]["x-expires-in-ms"]), 8000)
 
     def test_a_repeat_whose_window_closes_meanwhile_is_not_sent(self) -> None:
-        first, gated, closing = self.peer(ApplicationServer()), self.peer(Gated()), threading.Event()
+        first, gated, closing = self.peer(ApplicationServer()), self.peer(GatedServer()), threading.Event()
         first.answer = lambda headers: b"" if closing.wait(WAIT) else None  # closes: it may have run
         self.start(row("s-1", first))
         watch, client = self.discovery.watch(), self.client()
@@ -119,20 +119,20 @@
         self.settle(pools=2)
         closing.set()
         self.settle(attempts_reset=1, attempts=2)
-        gated.open()  # its connection comes up 1 s after it was called for, the window is 0.5 s
+        gated.open()  # its connection is established 1 s after it was begun, the window is 0.5 s
         self.settle(attempts_not_begun=1)
-        self.process.terminate()  # the request parks to its end; nothing more can become of it
+        self.process.terminate()  # the request is kept until its deadline, but cannot be served any more
         self.assertGreaterEqual(client.getresponse().status, 500)
         self.assertEqual(gated.seen.qsize(), 0)
 
 
-class Left(Slow):
+class ClientsThatLeave(SlowDialTest):
     settings: ClassVar[dict[str, Any]] = {
-        **Slow.settings, "Limits": {**LIMITS, "Cancel": False, "DialTimeoutMs": 8000.0}
+        **SlowDialTest.settings, "Limits": {**LIMITS, "Cancel": False, "DialTimeoutMs": 8000.0}
     }  # fmt: skip
 
     def test_who_leaves_meanwhile_has_nothing_sent_also_where_no_attempt_may_be_cancelled(self) -> None:
-        gated = self.peer(Gated())
+        gated = self.peer(GatedServer())
         self.start(row("s-1", gated))
         client = self.client()
         self.send(client, "/look/left", ms=9000)
@@ -146,7 +146,7 @@
         self.assertEqual(gated.seen.qsize(), 0)
 
     def test_an_end_that_waits_unread_lets_no_further_attempt_begin(self) -> None:
-        # What is sent ahead stops the reading, so the end behind it is not seen.
+        # Too many pipelined bytes stop the reading, so the close behind them is not seen.
         first, other = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         turning = threading.Event()
         first.answer = lambda headers: NEVER_RAN if turning.wait(WAIT) else None
@@ -157,15 +157,15 @@
         client.sendall(b"GET /" + b"x" * 9000)
         self.tell(watch, row("s-2", other))
         self.settle(pools=2)
-        self.gauges()  # a turn later: by now it has read as much as it will
+        self.gauges()  # an iteration later, so it has read as much as it will
         client.close()
         turning.set()
         self.settle(requests_now=0)
         self.assertEqual((other.seen.qsize(), self.gauges()["clients_gone"]), (0, 1))
 
 
-class Reset(ProxyProcessTest):
-    """An answer without a length ends with its connection: a reset is no end."""
+class ResetAnswers(ProxyProcessTest):
+    """An answer without a length ends with the close of its connection; a reset does not complete it."""
 
     class Server(ApplicationServer):
         def __init__(self, body: bytes) -> None:
@@ -183,7 +183,7 @@
         server = self.peer(self.Server(b"x" * 100_000))
         self.start(row("s-1", server))
         head = b"GET /look/1 HTTP/1.%d\r\nX-Trace-Id: t%d\r\nX-Expires-In-Ms: 2000\r\n\r\n"
-        for minor in (0, 1):  # one takes the end of the connection for that of the answer, one is told chunks
+        for minor in (0, 1):  # HTTP/1.0: the close ends the answer; 1.1: it is chunked
             server.gate.clear()
             client, got = self.connect(head % (minor, minor)), b""
             client.settimeout(WAIT)
@@ -201,7 +201,7 @@
         self.send(client)
         server.met.get(timeout=WAIT)
         for _ in range(2):
-            self.gauges()  # a turn later: it has read the half
+            self.gauges()  # an iteration later, so it has read the part
         server.gate.set()
         self.assertNotEqual(client.getresponse().status, 200)
         self.assertEqual(self.gauges()["attempts_reset"], 1)
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -1,4 +1,4 @@
-"""Clients that leave, or send on, in the very moment in which their request, answer or place is decided."""
+"""Clients that leave or send more at the very moment their request is handled, answered or evicted."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 )
 
 HEAD = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: "
-AHEAD = b"".join(HEAD + b"%d\r\n\r\n" % i for i in range(600))  # more than may wait behind one request
+AHEAD = b"".join(HEAD + b"%d\r\n\r\n" % i for i in range(600))  # more than may be pipelined behind a request
 
 
-class Gated(ApplicationServer):
-    """Answers as told once its gate is open; ``sent`` tells that an answer has been written."""
+class GatedServer(ApplicationServer):
+    """Answers once its gate is open; ``sent`` is set when an answer was written."""
 
     def __init__(self, answer: bytes | None = OK) -> None:
         self.gate, self.sent = threading.Event(), threading.Event()
@@ -50,51 +50,51 @@
                 self.sent.set()
 
 
-class Crossing(ProxyProcessTest):
-    """A proxy that can be made to stand still, so that several events are there when it goes on."""
+class PausableProxyTest(ProxyProcessTest):
+    """A proxy that can be paused, so that it finds several events at once when it continues."""
 
-    def stand_still(self) -> None:
+    def pause(self) -> None:
         self.process.send_signal(signal.SIGSTOP)
         os.waitpid(self.process.pid, os.WUNTRACED)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.process.send_signal(signal.SIGCONT)
 
 
-class Leaving(Crossing):
+class Leaving(PausableProxyTest):
     def test_a_client_that_closed_before_its_request_was_read_has_none(self) -> None:
         server = self.peer(ApplicationServer())
         self.start(row("s-1", server))
         self.assertEqual(self.ask().read(), b"ok")  # so that an attempt would go out at once
         whole = b"POST /look/1 HTTP/1.1\r\nX-Trace-Id: gone\r\nContent-Length: 32000\r\n\r\n" + b"x" * 32000
         exact = whole.replace(b"gone", b"gone".ljust(4 + 2 * READ_BYTES - len(whole), b"."))
-        # In the second case its end lies behind something that is not read along with the request.
+        # In the second case the close is behind data that is not read together with the request.
         for data in (HEAD + b"gone\r\n\r\n", exact + AHEAD[:4000]):
             before = self.gauges()["attempts"]
-            self.stand_still()
+            self.pause()
             self.connect(data).close()
             client = self.client()
             self.send(client)
-            self.go_on()
+            self.resume()
             self.assertEqual(client.getresponse().read(), b"ok")
             self.assertEqual(self.gauges()["attempts"], before + 1)  # the other's
         self.assertEqual(self.gauges()["left_unheard"], 2)
 
     def test_who_sent_too_much_ahead_and_left_gets_no_further_attempt(self) -> None:
-        servers = [self.peer(Gated(NEVER_RAN)) for _ in range(2)]
+        servers = [self.peer(GatedServer(NEVER_RAN)) for _ in range(2)]
         self.start(*(row(f"s-{i}", server) for i, server in enumerate(servers)))
         client = self.connect(HEAD + b"a\r\n\r\n")
         self.settle(attempts=1)
         client.sendall(AHEAD)
         client.close()
-        self.settle(clients_gone=1)  # seen, though nothing that it sent will be of use
+        self.settle(clients_gone=1)  # noticed, although none of that data is used
         for server in servers:
             server.gate.set()
         self.settle(requests_now=0)
         self.assertEqual(self.gauges()["attempts"], 1)
 
     def test_who_sends_too_much_ahead_is_told_so_behind_its_answer(self) -> None:
-        server = self.peer(Gated())
+        server = self.peer(GatedServer())
         self.start(row("s-1", server))
         client = self.connect(HEAD + b"a\r\n\r\n")
         server.seen.get(timeout=WAIT)
@@ -106,7 +106,7 @@
         self.assertEqual(got.count(b"HTTP/1.1 400 "), 1)
 
 
-class NoCancelling(Crossing):
+class NoCancelling(PausableProxyTest):
     settings: ClassVar[dict[str, Any]] = {
         "Classes": [{"Name": "look", "AimMs": 400.0, "HardLimitMs": 60000.0, "Effect": "pure"}],
         "Limits": {**SETTINGS["Limits"], "Cancel": False, "DialTimeoutMs": 60000.0},
@@ -116,7 +116,7 @@
         far = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.addCleanup(far.close)
         fill = []
-        for _ in range(4):  # its queue is full: the next dial stays on its way up
+        for _ in range(4):  # fills its accept queue, so that the next connection is not established
             one = socket.socket()
             one.setblocking(False)
             one.connect_ex(far.getsockname())
@@ -126,11 +126,11 @@
         client = self.connect(HEAD + b"a\r\n\r\n")
         self.settle(connections_opened=1)
         client.close()
-        now = self.settle(requests_now=0)  # well before the dial's end or the request's
+        now = self.settle(requests_now=0)  # well before the time-outs of the dial and the request
         self.assertEqual((now["attempts_not_sent"], now["server_connections_now"]), (1, 0))
 
     def test_an_attempt_that_was_sent_goes_on(self) -> None:
-        server = self.peer(Gated())
+        server = self.peer(GatedServer())
         self.start(row("s-1", server))
         client = self.connect(HEAD + b"a\r\n\r\n")
         server.seen.get(timeout=WAIT)
@@ -140,7 +140,7 @@
         self.assertEqual(self.settle(requests_now=0)["attempts_ok"], 1)
 
 
-class Parked(Crossing):
+class WaitingForServers(PausableProxyTest):
     def test_what_waits_for_a_server_is_not_sent_on_for_a_client_that_has_left(self) -> None:
         server = self.peer(ApplicationServer())
         self.start()
@@ -154,11 +154,11 @@
         self.assertEqual((self.ask().read(), server.seen.qsize()), (b"ok", 1))
 
 
-class Closing(Crossing):
+class Closing(PausableProxyTest):
     def test_an_answer_comes_whole_and_its_connection_ends_though_more_is_sent_behind_it(self) -> None:
-        # A close over unread bytes resets the connection, and takes along what has not left by then.
+        # Closing a socket with unread data resets the connection and loses what is not sent by then.
         body = b"y" * 60000
-        server = self.peer(Gated(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body))
+        server = self.peer(GatedServer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body))
         self.start(row("s-1", server))
         client = socket.socket()
         self.addCleanup(client.close)
@@ -168,28 +168,28 @@
         client.connect(("127.0.0.1", self.port))
         client.sendall(HEAD + b"a\r\nConnection: close\r\n\r\n")
         server.seen.get(timeout=WAIT)
-        self.stand_still()
+        self.pause()
         server.gate.set()
         self.assertTrue(server.sent.wait(WAIT))
         client.sendall(b"x" * 100 * 1024)  # more than is read at once
-        self.go_on()
+        self.resume()
         got = b"".join(iter(lambda: client.recv(4096), b""))  # raises where it is reset
         self.assertTrue(got.endswith(b"\r\n" + body), len(got))
 
 
-class Places(Crossing):
+class Evicting(PausableProxyTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 128}
 
     def test_who_made_room_leaves_its_descriptor_too(self) -> None:
-        # Told that its request did not arrive, a silent client used to keep its descriptor beyond the cap.
+        # A client that was answered 408 to make room kept its descriptor, beyond the limit on connections.
         server = self.peer(ApplicationServer())
         self.start(row("s-1", server))
         folder, most = f"/proc/{self.process.pid}/fd", 0
-        crowd = [self.connect(HEAD) for _ in range(300)]
+        silent_clients = [self.connect(HEAD) for _ in range(300)]
         until = time.monotonic() + WAIT
         while self.gauges().get("made_room", 0) < 200:
             self.assertLess(time.monotonic(), until)
             most = max(most, len(os.listdir(folder)))
         # Those stay free for servers.
         self.assertLessEqual(most, 128 - capacity_for(Limits(128, 32.0, 0)).servers)
-        del crowd
+        del silent_clients
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -1,4 +1,4 @@
-"""A stop that crosses requests: in the kernel's queue, or on their way, whatever the deadlines are."""
+"""A stop while requests are in the accept queue or being received, with short and long deadlines."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         self.start(row("s-1", server))
         size = 2 * REPLAY_LIMIT_BYTES
         head = b"POST /look/1 HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: %d\r\n\r\n" % size
-        upload = self.connect(head + b"x" * (size - 1))  # with the decisions; its time has not begun
+        upload = self.connect(head + b"x" * (size - 1))  # submitted; its time has not begun
         self.settle(bodies_flowing=1)
         began = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
@@ -64,16 +64,16 @@
 
 
 class Sockets:
-    """The event loop's table of descriptors; the test reads them in the order that it wants."""
+    """A reactor that reads nothing by itself; the test reads in the order that it wants."""
 
     def addReader(self, reader: Any) -> None:  # noqa: N802
-        """Read when the test says so."""
+        """The test reads."""
 
     removeReader = addReader  # noqa: N815
 
 
 class Queue(unittest.TestCase):
-    """The kernel's queue as the timers of a turn run; the listener comes next in that turn."""
+    """The accept queue as timers see it, which run before the listener is read in a loop iteration."""
 
     def setUp(self) -> None:
         reactor, settings = cast(Any, Clock()), Settings(classes=(RequestClass(300.0, 1000.0),))
@@ -96,7 +96,7 @@
         self.listening.accept()[0].close()
 
     def test_who_waits_there_is_taken_before_the_process_ends(self) -> None:
-        self.lifecycle.stop(self.clock.now() - self.lifecycle.answer_all_ms)  # long quiet, and time to leave
+        self.lifecycle.stop(self.clock.now() - self.lifecycle.answer_all_ms)  # late enough to exit
         left = list[bool]()
         ClientDrain(cast(Any, self), lambda: left.append(True)).start()
         self.assertEqual(left, [])
@@ -105,9 +105,10 @@
         self.assertEqual(left, [True])
 
     def test_a_crowd_makes_held_ones_of_new_clients_only_until_the_queue_is_seen_empty(self) -> None:
-        self.clients.accept_paused = True  # the listener is left unread
+        self.clients.accept_paused = True  # the listener is not read
         self.clients._sweep()
-        self.assertEqual(self.clients.accept_queue.since, -math.inf)  # who waits may have waited from before
+        # Those that wait may have waited since before the start.
+        self.assertEqual(self.clients.accept_queue.since, -math.inf)
         self.empty()
         self.clients.accept_paused = True
         before = self.clock.now()
--- a/tests/test_drain_reasons.py
+++ b/tests/test_drain_reasons.py
@@ -1,4 +1,4 @@
-"""Who wants a proxy out: in service only while nobody does, in any order of wishes."""
+"""A proxy is in service only while nobody has a reason to drain it, whatever the order of the calls."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
         turns.append("in")
         return True
 
-    wishes = DrainReasons(lambda: turns.append("out"), back)
+    reasons = DrainReasons(lambda: turns.append("out"), back)
     wanted: set[str] = set()
     for who, out in asked:
         (wanted.add if out else wanted.discard)(who)
-        wishes.want(who, out)
+        reasons.want(who, out)
         assert (turns[-1:] == ["out"]) == bool(wanted)
-        assert wishes.only(who) == (wanted == {who})
-    assert all(one != other for one, other in pairwise(turns))  # and is told once
+        assert reasons.only(who) == (wanted == {who})
+    assert all(one != other for one, other in pairwise(turns))  # each change is notified once
--- a/tests/test_held_by_front.py
+++ b/tests/test_held_by_front.py
@@ -1,6 +1,7 @@
-"""Requests that a front held for killed proxies: their clients' time ran before the new ones could read them.
+"""Requests that a load balancer held while their proxies were restarted, and that have little time left.
 
-Behind a silent server and a silent discovery every answer is the proxy's own, at the end of what it believes.
+The server and the discovery are silent, so that every answer is the proxy's own, when it thinks the time is
+over.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 from tests.proxy_process import OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 EXPIRES_MS = 2000  # the class's hard limit in the shared settings
-SLACK_S = 0.5  # an answer later than this beyond its client's time is lost
-HELD_S = 0.7  # the front goes on trying a dead address so long before the proxy is back
+SLACK_S = 0.5  # an answer is lost if it comes later than this after its client's time
+HELD_S = 0.7  # how long the load balancer retries a dead address before the proxy is back
 
 
 def free_port() -> int:
@@ -25,7 +26,7 @@
 
 class HeldByTheFront(ProxyProcessTest):
     def serve(self, *ports: int) -> list[subprocess.Popen[str]]:
-        """Processes on these addresses, started together; once each of them serves."""
+        """Start processes on these addresses together; returns once each of them serves."""
         rows = [row("s-1", self.silent)]
         started = [self.launch({**self.config(*rows), "listen": f"127.0.0.1:{port}"}) for port in ports]
         for _, log in started:
@@ -33,7 +34,7 @@
         return [process for process, _ in started]
 
     def hold(self, port: int, held: threading.Event, answers: list[tuple[float, int]]) -> None:
-        """The front: its client sends now; the request goes on as soon as the address takes connections."""
+        """A load balancer: forwards a request of now as soon as the address accepts connections."""
         sent = time.monotonic()
         while time.monotonic() - sent < WAIT:
             try:
@@ -63,9 +64,9 @@
         self.serve(*ports[1:])
         for front in fronts:
             front.join(WAIT)
-        self.assertEqual([status for _, status in answers], [503] * 3)  # never sent on: harmless to repeat
+        self.assertEqual([status for _, status in answers], [503] * 3)  # never sent on: a retry is safe
         self.assertLess(max(took for took, _ in answers), EXPIRES_MS / 1000.0 + SLACK_S, answers)
-        # What came with the start is over: who connects now has waited nowhere, and goes to the server.
+        # A connection that is made now has not waited, so its request is sent to the server.
         self.silent.answer = lambda headers: OK
         for port in ports[1:]:
             client = http.client.HTTPConnection("127.0.0.1", port, timeout=WAIT)
@@ -80,6 +81,6 @@
         client = http.client.HTTPConnection("127.0.0.1", port, timeout=WAIT)
         self.addCleanup(client.close)
         sent = time.monotonic()
-        self.send(client, ms=EXPIRES_MS)  # opens its connection after the listener was found empty
+        self.send(client, ms=EXPIRES_MS)  # connects after the accept queue was empty
         self.assertIn(client.getresponse().status, (503, 504))
         self.assertGreater(time.monotonic() - sent, EXPIRES_MS / 1000.0 - 0.2)  # not cut short
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections of all pools by age, against a plain list."""
+"""IdleConnections, compared with a plain list, and the closing of idle connections."""
 
 from __future__ import annotations
 
--- a/tests/test_misbehaving_peers.py
+++ b/tests/test_misbehaving_peers.py
@@ -1,4 +1,4 @@
-"""Clients that mean ill, application servers that answer badly, and tables that must stay small."""
+"""Misbehaving clients, application servers with invalid answers, and the limits that hold against them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 HEAD = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: "
 
 
-class RudeClients(ProxyProcessTest):
+class MisbehavingClients(ProxyProcessTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 128}
 
     def setUp(self) -> None:
@@ -35,7 +35,7 @@
         self.assertEqual(self.ask().read(), b"ok")
 
     def test_hundreds_that_say_nothing_do_not_crowd_out_a_client(self) -> None:
-        # There is room for 57. Each newcomer used to look at all others to find whom to close.
+        # There is room for 57. It took too long when each new connection checked all others for one to close.
         silent = [self.connect() for _ in range(300)]
         began = time.monotonic()
         for _ in range(5):
@@ -45,7 +45,7 @@
         del silent
 
     def test_the_id_of_an_open_request_is_turned_away_and_its_owner_untouched(self) -> None:
-        # Sent on, the second would be a second copy of the first.
+        # Application servers would take the second for a copy of the first.
         self.server.answer = lambda headers: None
         owner = self.connect(HEAD + b"mine\r\nX-Expires-In-Ms: 700\r\n\r\n")
         self.server.seen.get(timeout=WAIT)
@@ -92,7 +92,7 @@
         self.start(*(row(f"s-{i}", s) for i, s in enumerate(self.servers)))
 
     def first(self, answer: bytes) -> None:
-        """This once, whichever server is met; every other answer names its request."""
+        """The next answer of any server is this one; every other answer names its request."""
         once = threading.Lock()
 
         def reply(headers: dict[str, str]) -> bytes:
@@ -140,8 +140,8 @@
 
 class BehindAnAnswer(ProxyProcessTest):
     def test_a_connection_that_has_ended_or_brought_more_since_is_not_used_again(self) -> None:
-        # The proxy has not read them yet when the next request comes: these bytes would be its answer. So it
-        # stands still until both are there.
+        # Unread bytes would be taken for the answer to the next request. The proxy is paused until both the
+        # bytes and the next request have arrived.
         server = self.peer(ApplicationServer())
         talk = server.talk
         for more in (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale", b""):
@@ -168,7 +168,7 @@
                 self.assertEqual(self.ask(client).read(), b"ok")
                 self.process.send_signal(signal.SIGSTOP)
                 os.waitpid(self.process.pid, os.WUNTRACED)
-                self.send(client, path="/scan/1", ms=2000)  # first, so that it is met first
+                self.send(client, path="/scan/1", ms=2000)  # first, so that the proxy reads it first
                 go.set()
                 self.assertTrue(sent.wait(WAIT))
                 self.process.send_signal(signal.SIGCONT)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The network's parts by themselves, without a socket."""
+"""The parts of the network code on their own, without sockets."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
         got = read_report("TEXT inflight=7, queue=2, util=0.61, new=1")
         self.assertEqual(got, {"in_flight": 7.0, "queued": 2.0, "utilization": 0.61})
         self.assertIsNone(read_report("nothing"))
-        # The settings may name the figures as the simulator does; none of these must go unheard.
+        # The settings may use the simulator's names; none of them may be ignored.
         self.assertEqual(read_report("TEXT busy=0.478, rate=67.6"), {"utilization": 0.478, "rate": 67.6})
         for noise in ("nan", "inf", "-inf", "-1", "1e9", "1e999", "0x1", ""):
             self.assertEqual(read_report(f"TEXT busy={noise}, rate=5"), {"rate": 5.0}, noise)
@@ -123,8 +123,8 @@
         self.assertTrue(all(0.0 <= x <= TICK_MS for x in late), late)
 
 
-class Side:
-    """A client's side that keeps its answers."""
+class RecordingResponder:
+    """A Responder that records its answers."""
 
     def __init__(self) -> None:
         self.answers: list[str] = []
@@ -142,8 +142,8 @@
         self.answers.append(why.name)
 
 
-class Held:
-    """A pass that ends when the test says so."""
+class PendingAttempt:
+    """An attempt that ends when the test says so."""
 
     def __init__(self) -> None:
         self.ended: Deferred[AttemptResult] = Deferred()
@@ -160,15 +160,15 @@
 
 class Servers:
     def __init__(self) -> None:
-        self.passes: list[Held] = []
+        self.attempts: list[PendingAttempt] = []
         self.timeouts: list[float] = []
 
     def start(
         self, server: str, call: ClientRequest, timeout_ms: float, begin_ms: float, wanted: Callable[[], bool]
-    ) -> Held:
+    ) -> PendingAttempt:
         self.timeouts.append(timeout_ms)
-        self.passes.append(Held())
-        return self.passes[-1]
+        self.attempts.append(PendingAttempt())
+        return self.attempts[-1]
 
     def probe(self, server: str) -> Deferred[AttemptResult]:
         raise NotImplementedError
@@ -178,7 +178,7 @@
     def setUp(self) -> None:
         reactor: Any = Clock()
         keyed = RequestClass(300.0, 1000.0, 1.0, 0.0, Effect.KEYED, DedupScope.ZONE, 500.0)
-        self.servers, self.side, self.counters = Servers(), Side(), Counters()
+        self.servers, self.side, self.counters = Servers(), RecordingResponder(), Counters()
         told = Settings(classes=(keyed,), max_attempts=3, may_cancel=True)
         clock = ReactorClock(reactor)
         self.proxy = Proxy(told, 1, clock, self.servers, lambda: None, self.counters)
@@ -198,13 +198,13 @@
     def test_a_request_keeps_what_is_left_of_its_clients_time(self) -> None:
         clock: Any = self.proxy._clock
         now = clock.now()
-        clock.now = lambda: now  # it stands still: on a busy machine half a ms could pass
-        self.offer()  # read as it came: all of its time, bar the margin for the answer's way
-        self.servers.passes[0].ended.callback(AttemptResult(Status.OK, Reply([], b"")))
-        self.offer(600.0)  # waited in the kernel's queue while the proxy was crowded
-        self.offer(math.inf)  # held by a front before this process was there: nothing is known to be left
+        clock.now = lambda: now  # fixed, as half a ms could pass on a busy machine
+        self.offer()  # read at once: all of its time but the margin for the answer's way back
+        self.servers.attempts[0].ended.callback(AttemptResult(Status.OK, Reply([], b"")))
+        self.offer(600.0)  # waited in the accept queue
+        self.offer(math.inf)  # held by a load balancer before the start: how much time is left is unknown
         self.assertEqual([round(t) for t in self.servers.timeouts], [880, 280])
-        self.assertEqual(self.side.answers, ["served", "refused"])  # at once, and sent nowhere
+        self.assertEqual(self.side.answers, ["served", "refused"])  # refused at once, without an attempt
 
     def test_an_internal_error_still_gives_a_whole_answer(self) -> None:
         self.proxy._module.request_arrived = lambda request, now: 1 / 0  # type: ignore[method-assign,assignment]
@@ -216,23 +216,23 @@
         self.submit()
         self.proxy._module.attempt_ended = lambda *args: 1 / 0  # type: ignore[method-assign,assignment]
         with self.assertLogs("lupinlink.net.proxy"):
-            self.servers.passes[0].ended.callback(AttemptResult(Status.RESET))
+            self.servers.attempts[0].ended.callback(AttemptResult(Status.RESET))
         self.assertEqual(self.side.answers, ["INTERNAL"])
 
     def test_only_one_answer_and_nothing_for_a_client_that_left(self) -> None:
         self.submit()
-        self.servers.passes[0].ended.callback(AttemptResult(Status.OK, Reply([], b"")))
+        self.servers.attempts[0].ended.callback(AttemptResult(Status.OK, Reply([], b"")))
         self.assertEqual(self.side.answers, ["served"])
         gone = self.submit()
         self.proxy.client_left(gone)
-        self.assertEqual(self.servers.passes[1].ended.called, True)  # given up
+        self.assertEqual(self.servers.attempts[1].ended.called, True)  # given up
         self.proxy.end(gone, FailureReason.TOO_LATE)
         self.assertEqual((self.side.answers, self.counters["clients_gone"]), (["served"], 1))
 
     def test_a_call_is_settled_once_though_an_answer_crosses_its_end(self) -> None:
         settled: list[str] = []
         self.proxy.on_settled = lambda call: settled.append(call.identity)
-        handle, crossing = self.submit(), self.servers.passes[0]
+        handle, crossing = self.submit(), self.servers.attempts[0]
         crossing.give_up = lambda status: None  # type: ignore[method-assign]
         self.proxy.client_left(handle)
         crossing.ended.callback(AttemptResult(Status.OK, Reply([], b"")))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The real program as its clients, application servers and discovery meet it."""
+"""The real program, as clients, application servers and discovery see it."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
         self.assertEqual(self.server.seen.get(timeout=WAIT)[2], body)
 
     def test_answers_beyond_64_kib_pass_also_in_pieces(self) -> None:
-        # Taken for broken answers, they cost a fifth of all passes on a day of large ones.
+        # When they counted as broken answers, a fifth of all attempts failed under a load with large answers.
         body = b"y" * 300000
         self.server.answer = lambda headers: b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + body
         self.assertEqual(self.ask().read(), body)
         self.assertEqual(self.server.seen.qsize(), 1)
 
     def test_a_connections_own_headers_end_at_the_proxy(self) -> None:
-        # What a client says of its connection must not reach the pooled one behind the proxy.
+        # Connection options of a client must not reach the pooled connection to the server.
         head = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: t\r\nConnection: close, X-Hop\r\n"
         self.assertTrue(self.raw(head + b"X-Hop: 1\r\nX-End: 1\r\n\r\n").endswith(b"ok"))
         headers = self.server.seen.get(timeout=WAIT)[1]
@@ -78,14 +78,14 @@
         self.assertTrue(got.index(b"a0") < got.index(b"a1") < got.index(b"a2") < got.index(b"a3"))
 
     def test_connections_are_kept_on_both_sides(self) -> None:
-        # A handshake costs the application server work: it is paid once here, not five times.
+        # A handshake costs the application server work: it is made once here, not five times.
         client = self.client()
         for _ in range(5):
             self.assertEqual(self.ask(client).read(), b"ok")
         self.assertEqual(self.server.accepted, 1)
 
     def test_up_and_counters_on_a_signal_and_at_exit(self) -> None:
-        self.await_up()  # with the one answer 200 that it waits for
+        self.await_up()  # counts one answer 200
         self.ask().read()
         self.process.send_signal(signal.SIGUSR1)
         shown = self.line("msg=counters at=signal")
@@ -140,12 +140,12 @@
         self.assertEqual(self.server.seen.qsize(), 1)
 
     def test_a_refused_body_does_not_reset_its_answer(self) -> None:
-        # Closing under a body that still comes resets the connection, and the 413 is lost with it.
+        # Closing while the body is still being sent would reset the connection and lose the answer 413.
         head = b"POST /scan/1 HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 34000000\r\n\r\n"
         self.assertTrue(self.raw(head + b"x" * 34000000).startswith(b"HTTP/1.1 413 "))
 
 
-class Passes(ProxyProcessTest):
+class Attempts(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.servers = [self.peer(ApplicationServer()) for _ in range(2)]
@@ -153,7 +153,7 @@
         self.start(*(row(f"s-{i}", s) for i, s in enumerate(self.servers)))
 
     def say(self, answer: bytes | None) -> None:
-        """The first pass of each request gets this, whichever server it meets; the next ones are served."""
+        """The first attempt of each request gets this answer from any server; the next ones are served."""
         met: list[str] = []
 
         def reply(headers: dict[str, str]) -> bytes | None:
@@ -177,10 +177,10 @@
                 self.say(answer)
                 self.assertEqual(self.ask().read(), b"ok")
                 status = self.ask(path="/scan/1").status
-                self.assertEqual(status, 200)  # the same zone drops the repeat
+                self.assertEqual(status, 200)  # the same zone drops the duplicate
 
     def test_a_request_that_servers_reject_fails_at_once_and_blames_none(self) -> None:
-        # Sent on to one server after the other, a bad client's request had them all left out.
+        # When such a request was retried, it had one server after the other ejected.
         for server in self.servers:
             server.answer = lambda headers: b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"
         self.assertEqual([self.ask().status for _ in range(10)], [502] * 10)
@@ -211,7 +211,7 @@
             server.answer = lambda headers: None
         began = time.monotonic()
         status = self.ask(path="/scan/1", ms=300).status
-        self.assertLess(time.monotonic() - began, 0.37)  # the rules give 70 ms more
+        self.assertLess(time.monotonic() - began, 0.37)  # 70 ms before the limit
         self.assertEqual((status, self.seen()), (504, 1))
         self.servers[0].met.get(timeout=WAIT).ends.get(timeout=WAIT)
 
@@ -241,7 +241,7 @@
 
 class Hanging(ProxyProcessTest):
     def test_requests_on_a_silent_server_go_elsewhere_long_before_their_deadline(self) -> None:
-        # A machine that is cut off keeps its connections and says nothing.
+        # The connections of a machine that is cut off from the network stay open and silent.
         silent, sound = self.peer(ApplicationServer(None)), [self.peer(ApplicationServer()) for _ in range(2)]
         self.start(row("s-0", silent), *(row(f"s-{i + 1}", s) for i, s in enumerate(sound)))
         clients = [self.client() for _ in range(30)]
@@ -254,15 +254,15 @@
         before = silent.seen.qsize()
         for client in clients:
             self.assertEqual(self.ask(client).read(), b"ok")
-        self.assertEqual(silent.seen.qsize(), before)  # left out
+        self.assertEqual(silent.seen.qsize(), before)  # ejected
 
 
 class Unreachable(ProxyProcessTest):
     def test_a_connection_that_never_comes_up_never_ran(self) -> None:
-        # A machine that vanished says nothing: the dial must end by itself, and the request go elsewhere.
+        # A machine that vanished does not answer: the dial has to time out, and the request to go elsewhere.
         full = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.addCleanup(full.close)
-        for _ in range(4):  # its queue is full now, further connections hang
+        for _ in range(4):  # fills its accept queue, so that further connections hang
             filler = socket.socket()
             self.addCleanup(filler.close)
             filler.setblocking(False)
@@ -279,7 +279,7 @@
     settings: ClassVar[dict[str, Any]] = {"Limits": {**SETTINGS["Limits"], "IdleCloseMs": 2000.0}}
 
     def test_idle_connections_are_closed_well_before_the_application_server_would(self) -> None:
-        # A request that meets the close half-way is a reset, which may have run.
+        # A request that crosses the close ends with a reset, after which it may have run.
         server = self.peer(ApplicationServer())
         self.start(row("s-1", server))
         self.ask().read()
@@ -289,7 +289,7 @@
         self.assertEqual(self.ask().read(), b"ok")
 
 
-class FarmNews(ProxyProcessTest):
+class ListChanges(ProxyProcessTest):
     def setUp(self) -> None:
         super().setUp()
         self.old, self.new = self.peer(ApplicationServer()), self.peer(ApplicationServer())
@@ -301,7 +301,7 @@
         self.watch.sendall(chunk(line))
 
     def until_on(self, server: ApplicationServer) -> None:
-        """Ask until the answers come from there, then be sure that they all do."""
+        """Send requests until this server answers, then assert that it answers all."""
         until = time.monotonic() + WAIT
         while not server.seen.qsize() and time.monotonic() < until:
             self.ask().read()
@@ -385,7 +385,7 @@
                     answer.read()
                     client, fresh = (self.client(), True) if answer.will_close else (client, False)
                 except ConnectionError as exc:
-                    # A connection that closes between two requests may be crossed by the next one.
+                    # The close of an idle connection may cross the next request on it.
                     if fresh:
                         lost.append(repr(exc))
                     client, fresh = self.client(), True
@@ -398,7 +398,7 @@
             thread.start()
         served.wait(WAIT)
         self.process.send_signal(signal.SIGTERM)
-        over.wait(0.3)  # so long new connections keep coming
+        over.wait(0.3)  # clients still connect during this time
         over.set()
         for thread in threads:
             thread.join(WAIT)
@@ -409,13 +409,13 @@
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
 
     def test_idle_clients_make_room(self) -> None:
-        # The descriptors told are a hard limit; beyond the cap the longest idle connection goes.
+        # The configured descriptors are a hard limit; above it the longest idle connection is closed.
         server = self.peer(ApplicationServer())
         self.start(row("s-1", server))
         clients = [self.client() for _ in range(60)]
         for client in clients:
             self.assertEqual(self.ask(client).read(), b"ok")
-        for client in clients[:15]:  # many at once: each makes room for itself
+        for client in clients[:15]:  # many at once: each has room made for it
             client.close()
             client.connect()
         for client in clients[:15]:
@@ -423,7 +423,7 @@
         self.assertLess(len(os.listdir(f"/proc/{self.process.pid}/fd")), 64)
 
     def test_clients_beyond_the_cap_wait_for_room_and_are_served(self) -> None:
-        # Closed unread, a connection would take the request that was already written to it along.
+        # Closing a connection unread would lose the request that was already written to it.
         server = self.peer(ApplicationServer(None))
         self.start(row("s-1", server))
         held = [self.client() for _ in range(22)]
--- a/tests/test_queue_wait.py
+++ b/tests/test_queue_wait.py
@@ -1,4 +1,4 @@
-"""How long who is accepted may have waited in the kernel's queue."""
+"""How long accepted connections may have waited in the accept queue of the kernel."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
     def test_a_queue_that_is_never_empty_is_known_once_what_a_look_found_is_through(self) -> None:
         self.queue.observed(100.0, 3)
         for _ in range(3):
-            self.assertEqual(self.queue.waited_ms(140.0), math.inf)  # it may have been there long
-            self.queue.observed(150.0, 9)  # an earlier look still counts
+            self.assertEqual(self.queue.waited_ms(140.0), math.inf)  # its wait is unknown
+            self.queue.observed(150.0, 9)  # the earlier observation still counts
             self.queue.accepted()
-        self.assertEqual(self.queue.waited_ms(160.0), 60.0)  # it came after that look
+        self.assertEqual(self.queue.waited_ms(160.0), 60.0)  # it arrived after that observation
         self.queue.observed(200.0, 1)
         self.queue.accepted()
         self.assertEqual(self.queue.waited_ms(230.0), 30.0)
--- a/tests/test_split_messages.py
+++ b/tests/test_split_messages.py
@@ -1,4 +1,4 @@
-"""What parsers, bodies and their progress make of messages that come in any pieces."""
+"""Parsers, bodies and their progress, with messages that arrive in pieces of any size."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     def test_progress_is_a_rate_and_waiting_for_us_is_no_delay(self) -> None:
         body = BodyProgress(0.0)
         self.assertFalse(body.timed_out(GRACE_MS))
-        self.assertTrue(body.timed_out(GRACE_MS + 1.0))  # nothing came
+        self.assertTrue(body.timed_out(GRACE_MS + 1.0))  # nothing was received
         body.received(int(MIN_BYTES_PER_MS * 3000.0), 10.0)
         self.assertEqual(
             [body.timed_out(10.0 + STALL_TIMEOUT_MS), body.timed_out(11.0 + STALL_TIMEOUT_MS)], [False, True]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Bodies that are passed on as they come, slow clients, and every form that a message may have."""
+"""Streamed bodies, slow clients, and every valid form of a message."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from tests.proxy_process import NEVER_RAN, OK, WAIT, ApplicationServer, ProxyProcessTest, row
 
 MB = 1024 * 1024
-MOST_DRAWS = 40  # a server of two that is fit is drawn by then, whatever the seed
+MAX_SELECTIONS = 40  # attempts within which each of two usable servers is selected, whatever the seed
 POST = b"POST /scan/1 HTTP/1.1\r\nX-Trace-Id: %b\r\nIdempotency-Key: k\r\n"
 
 
 class Streams(ProxyProcessTest):
-    """A proxy under limits that would not hold two bodies of 32 MB."""
+    """A proxy with too little memory to hold two bodies of 32 MB."""
 
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
 
@@ -30,7 +30,7 @@
 
 class Large(Streams):
     def answers(self, size: int, chunked: bool = False) -> str:
-        """Have the server answer with so many bytes; gives their hash."""
+        """Let the server answer with this many bytes; returns their hash."""
         body = bytes(range(256)) * (size // 256)
         if chunked:
             parts = (http1.chunk(body[at : at + 50_000]) for at in range(0, size, 50_000))
@@ -82,7 +82,7 @@
         self.assertEqual(hashlib.sha1(got.partition(b"\r\n\r\n")[2]).hexdigest(), want)
 
     def test_the_first_bytes_of_a_slow_answer_do_not_wait_for_the_rest(self) -> None:
-        # Held back until 8 or 64 KiB were there, a slow server's long answers came late.
+        # Streaming that started at 8 or 64 KiB delayed the long answers of a slow server.
         begun = {b"Content-Length: 70000": 3000, b"Transfer-Encoding: chunked": 20_000}
         for framing, size in begun.items():
             part = b"x" * size if b"Length" in framing else http1.chunk(b"x" * size)
@@ -94,7 +94,7 @@
 
     def test_a_long_answer_that_breaks_off_is_seen_to_be_not_whole(self) -> None:
         cut = b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + b"x" * 100_000
-        self.server.answer = lambda headers: cut + b": close\r"  # which has it closed
+        self.server.answer = lambda headers: cut + b": close\r"  # so that the server closes
         answer = self.ask()
         self.assertEqual(answer.headers["Content-Length"], "500000")
         with self.assertRaises((ConnectionError, http.client.IncompleteRead)):
@@ -103,7 +103,7 @@
 
     def test_an_upload_that_its_sender_breaks_off_never_runs(self) -> None:
         self.connect(POST % b"b" + b"Content-Length: 5000000\r\n\r\n" + b"x" * 1_000_000).close()
-        # Not before: asked while the upload is on its way, the next one's connection might be the upload's.
+        # Only then: during the upload, the connection of the next request could be taken for the upload's.
         self.settle(clients_gone=1)
         self.assertEqual(self.ask().read(), b"ok")
         self.assertEqual([self.server.seen.get(timeout=WAIT)[0][:4] for _ in range(1)], ["GET "])
@@ -114,12 +114,12 @@
         self.server.answer = lambda headers: NEVER_RAN
         head = POST % b"n" + b"Content-Length: 2000000\r\nConnection: close\r\n\r\n"
         answer = self.raw(head + b"x" * 2_000_000)
-        self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)  # it never ran: trying again is harmless
+        self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)  # it never ran: a retry is safe
         self.assertIn(b"Retry-After: 0.2", answer)
         self.assertEqual(self.server.seen.qsize(), 1)
 
     def test_what_was_let_go_and_may_have_run_is_not_called_harmless(self) -> None:
-        for path in (b"/scan/1", b"/look/1"):  # also of a class that may be repeated: a rejected one fails
+        for path in (b"/scan/1", b"/look/1"):  # also of a class that may be retried: a rejected one fails
             for status in (b"500", b"400"):
                 self.server.answer = (
                     lambda headers, s=status: b"HTTP/1.1 %b No\r\nContent-Length: 0\r\n\r\n" % s
@@ -138,7 +138,7 @@
         self.start(row("s-1", self.server), row("s-2", other))
         head = POST % b"h" + b"Content-Length: 200000\r\nConnection: close\r\n\r\n"
         asked = 0
-        while asked < 4 or (self.server.seen.empty() and asked < MOST_DRAWS):
+        while asked < 4 or (self.server.seen.empty() and asked < MAX_SELECTIONS):
             self.assertTrue(self.raw(head + b"y" * 200_000).endswith(b"ok"))
             asked += 1
         self.assertEqual(other.seen.qsize(), asked)
@@ -147,7 +147,7 @@
 
 class Slow(Streams):
     def drip(self, connection: socket.socket, data: bytes, pieces: int, seconds: float) -> None:
-        """Write it in so many pieces over that time."""
+        """Write the data in this many pieces over this time."""
         size, over = -(-len(data) // pieces), threading.Event()
         for at in range(0, len(data), size):
             connection.sendall(data[at : at + size])
--- a/tests/test_updates_before_write.py
+++ b/tests/test_updates_before_write.py
@@ -20,7 +20,7 @@
 from lupinlink.net.socket_peek import peek
 from lupinlink.settings import Settings
 from tests.helpers import SAFE
-from tests.manual_reactor import ManualReactorTest, news_that
+from tests.manual_reactor import ManualReactorTest, update_that
 from tests.proxy_process import WAIT, ApplicationServer, Discovery, ProxyProcessTest, chunk, listing, row
 
 CLIENTS = 60
@@ -34,26 +34,26 @@
         elsewhere = ("127.0.0.1", 1)
         return {
             "drained": self.drain,
-            "gone": lambda: self.learn(EndpointState.GONE),
+            "gone": lambda: self.update_server(EndpointState.GONE),
             "missing in a full list": lambda: self.servers.update_list([], True),
-            "at another address": lambda: self.learn(address=elsewhere),
-            "another process": lambda: self.learn(started_ms=2.0),
+            "at another address": lambda: self.update_server(address=elsewhere),
+            "another process": lambda: self.update_server(started_ms=2.0),
         }
 
     def assert_not_begun(self, begin: Callable[[], list[AttemptResult]], kept: bool) -> None:
         for name, change in self.changes().items():
             with self.subTest(name):
                 self.servers.update_list([], True)
-                self.loop.learn()
+                self.loop.update_server()
                 server = self.loop.idle_connection()[0] if kept else None
                 before = self.servers.counters["attempts_not_begun"]
-                self.servers.read_pending_updates = news_that(change)
+                self.servers.read_pending_updates = update_that(change)
                 ends = begin()
                 self.until_ended(ends)
                 if server is None:
                     server, _ = self.loop.listener.accept()
                 self.servers.read_pending_updates = lambda: False
-                self.turn()
+                self.iterate()
                 self.assertEqual([end.status for end in ends], [Status.NOT_SENT])
                 self.assertEqual(self.servers.counters["attempts_not_begun"], before + 1)
                 server.settimeout(WAIT)
@@ -88,11 +88,11 @@
             return start(attempt)
 
         self.servers._send = send  # type: ignore[method-assign]
-        self.servers.read_pending_updates = news_that(lambda: attempts[0].give_up(Status.CANCELLED))
+        self.servers.read_pending_updates = update_that(lambda: attempts[0].give_up(Status.CANCELLED))
         _, ends = self.loop.attempt()
-        self.turn()
+        self.iterate()
         self.assertEqual([end.status for end in ends], [Status.CANCELLED])
-        self.assertEqual((self.came(server), connection.pool.idle), (b"", [connection]))
+        self.assertEqual((self.received_by(server), connection.pool.idle), (b"", [connection]))
 
 
 class UnreadUpdate(ManualReactorTest):
@@ -111,7 +111,7 @@
         self.servers.read_pending_updates = self.discovery_client.read_pending_updates
         self.server, _ = self.loop.idle_connection()
         self.discovery_client.call()
-        self.loop.turn_until(self.discovery.watches.qsize)
+        self.loop.iterate_until(self.discovery.watches.qsize)
         self.watch = self.discovery.watch()
 
     def drain_update(self, **more: Any) -> bytes:
@@ -121,7 +121,7 @@
 
     def open_watch(self) -> None:
         self.watch.sendall(chunk(json.dumps(listing(41, False)) + "\n"))
-        self.loop.turn_until(lambda: self.discovery_client.version == 41)
+        self.loop.iterate_until(lambda: self.discovery_client.version == 41)
 
     def write_and_await(self, data: bytes) -> None:
         """Send it, and wait until the kernel has it for the watch."""
@@ -132,7 +132,7 @@
 
     def assert_unsent(self) -> None:
         _, ends = self.loop.attempt()
-        self.turn()
+        self.iterate()
         self.assertEqual([end.status for end in ends], [Status.NOT_SENT])
         self.assertEqual(self.end_of(self.server), b"")
 
@@ -165,13 +165,13 @@
         self.watch.shutdown(socket.SHUT_RDWR)  # its end is left to the reactor
         self.assertTrue(select.select([live.transport.getHandle()], [], [], WAIT)[0])
         self.discovery_client.read_pending_updates()
-        self.loop.turn_until(lambda: self.discovery_client._watch is None)
+        self.loop.iterate_until(lambda: self.discovery_client._watch is None)
         self.assertFalse(live.read_pending())
         self.assertEqual(peek(live.transport), b"")
         self.discovery_client.call()
         self.discovery_client.read_pending_updates()
         _, ends = self.loop.attempt()
-        self.assertIn(b"X-Expires-In-Ms", self.came(self.server))
+        self.assertIn(b"X-Expires-In-Ms", self.received_by(self.server))
         self.assertEqual(ends, [])
 
 
