--- a/lupinlink/commands/check.py
+++ b/lupinlink/commands/check.py
@@ -51,21 +51,21 @@
 def _policy_is_good(file: str, settings: Settings) -> bool:
     """Say what is wrong with a policy, a line each, or what it holds."""
     try:
-        from lupinlink.quota.loading import look, read_text
+        from lupinlink.quota.loading import check_text, read_policy_file
     except ImportError as exc:
         print(f"lupinlink: {exc}; a policy needs lupinlink[fleet]", file=sys.stderr)
         return False
     from lupinlink.quota.errors import PolicyFileError
-    from lupinlink.quota.reach import Known
+    from lupinlink.quota.reachability import KnownNames
 
     try:
-        policy, findings = look(read_text(file), Known.of(settings))
+        policy, findings = check_text(read_policy_file(file), KnownNames.of(settings))
     except PolicyFileError as exc:
         print(f"lupinlink: {exc.line()}", file=sys.stderr)
         return False
     for finding in findings:
         print(finding.finding(file), file=sys.stderr)
     if policy is not None:
-        cases = len(policy.expects)
+        cases = len(policy.expected_cases)
         print(f"{file}: policy {policy.version}, {len(policy.limits)} quotas, {cases} expected cases hold")
     return policy is not None
--- a/lupinlink/lab/quota/fleet.py
+++ b/lupinlink/lab/quota/fleet.py
@@ -14,8 +14,8 @@
 from lupinlink.lab.model.clock import VirtualClock
 from lupinlink.lab.quota.clocks import ProcessClock
 from lupinlink.lab.quota.referee import Referee
-from lupinlink.quota.model import Charge, Limit, Policy, Purse
-from lupinlink.quota.purse import LocalPurse
+from lupinlink.quota.local_token_store import LocalTokenStore
+from lupinlink.quota.model import Charge, Limit, Policy, TokenStore
 from lupinlink.quota.sharing.agent import QuotaAgent
 from lupinlink.quota.sharing.policies import InForce
 from lupinlink.quota.sharing.terms import Terms
@@ -34,14 +34,14 @@
         self.clock = ProcessClock(
             fleet.clock, 1.0 + CLOCK_ERROR * rng.uniform(-1.0, 1.0), rng.uniform(0.0, 1e6)
         )
-        self.purses: list[Purse] = []
+        self.purses: list[TokenStore] = []
         self.agent: QuotaAgent | None = None
         self.wire = fleet.service.wire(self.clock)
         self.client = Client(self.wire, self.clock, rng.random)
         if fleet.kind != "shared":
             share = 1 if fleet.kind == "whole" else len(fleet.weights)
             limits = [_divided(limit, share) for limit in fleet.policy.limits]
-            self.purses = [LocalPurse(limits)]
+            self.purses = [LocalTokenStore(limits)]
             return
         self.tenure = Tenure(self.client, self.clock, LEASE_MS, rng.random)
         self.agent = QuotaAgent(
@@ -60,8 +60,8 @@
         return not (self.clock.stopped or self.clock.dead)
 
     def admits(self, charges: Sequence[Charge]) -> bool:
-        """Ask its purses, as ``compiled.decide_all`` does."""
-        now, taken = self.clock.now(), list[Purse]()
+        """Ask its purses, as ``compiled_policy.decide_all_versions`` does."""
+        now, taken = self.clock.now(), list[TokenStore]()
         for purse in self.purses:
             if purse.take(charges, now) is not None:
                 for other in taken:
--- a/lupinlink/lab/quota_cost.py
+++ b/lupinlink/lab/quota_cost.py
@@ -24,10 +24,10 @@
 
 from docopt import docopt
 
-from lupinlink.quota.compiled import Compiled
-from lupinlink.quota.language.reading import read
-from lupinlink.quota.model import Asked, Policy
-from lupinlink.quota.purse import LocalPurse
+from lupinlink.quota.compiled_policy import CompiledPolicy
+from lupinlink.quota.language.reading import read_policy
+from lupinlink.quota.local_token_store import LocalTokenStore
+from lupinlink.quota.model import Policy, QuotaRequest
 
 DECISIONS, STRETCH = 20_000, 500  # of a round, and timed at once
 KEYS, FEW_KEYS, ADDRESSES = 200_000, 30, 20_000  # that requests are drawn from
@@ -63,10 +63,10 @@
     return _tenants(limits, "by key most 50").replace("guaranteed 5/s", "")
 
 
-def requests(random: Random, limits: int, keys: int) -> list[Asked]:
+def requests(random: Random, limits: int, keys: int) -> list[QuotaRequest]:
     """As many as a round has."""
     return [
-        Asked(
+        QuotaRequest(
             random.choice(("look", "order", "scan")),
             f"t{random.randrange(limits // 2)}",
             random.choice("abc"),
@@ -78,9 +78,9 @@
     ]
 
 
-def measure(policy: Policy, asked: list[Asked], rounds: int, step_ms: float) -> dict[str, float]:
+def measure(policy: Policy, asked: list[QuotaRequest], rounds: int, step_ms: float) -> dict[str, float]:
     """Microseconds a decision; ``step_ms``: from one arrival to the next."""
-    compiled, purse, now = Compiled(policy.limits, 2000.0), LocalPurse(policy.limits), 0.0
+    compiled, purse, now = CompiledPolicy(policy.limits, 2000.0), LocalTokenStore(policy.limits), 0.0
     costs: list[float] = []
     refused = 0
     for start in [*range(0, len(asked), STRETCH)] * (rounds + 1):
@@ -113,7 +113,7 @@
         ("by key, known", _values(limits), FEW_KEYS),
         ("by key, new", _values(limits), KEYS),
     ):
-        policy, findings = read(text)
+        policy, findings = read_policy(text)
         assert not findings, findings
         asked = requests(Random(int(args["--seed"])), limits, keys)
         for load, step_ms in (("calm", 1.0), ("short", 0.005)):
--- a/lupinlink/quota/buckets.py
+++ b/lupinlink/quota/buckets.py
@@ -10,7 +10,7 @@
 import math
 from heapq import heapify, heappop, heappush, heapreplace
 
-from lupinlink.quota.shares import NEARLY, Draw, Size
+from lupinlink.quota.bucket_shares import NEARLY, BucketSize, DrawTerms
 
 
 class Bucket:
@@ -18,7 +18,7 @@
 
     __slots__ = ("at", "own", "size", "tokens")
 
-    def __init__(self, size: Size, now: float) -> None:
+    def __init__(self, size: BucketSize, now: float) -> None:
         self.size, self.at, self.tokens = size, now, size.burst
         self.own = False  # the token that ``ask`` found is of the asker's own reserve
 
@@ -29,7 +29,7 @@
             self.tokens = tokens if tokens < self.size.burst else self.size.burst
             self.at = now
 
-    def ask(self, draw: Draw, now: float) -> float:
+    def ask(self, draw: DrawTerms, now: float) -> float:
         """How long until there is a token on these terms if nobody else takes one; 0: now."""
         size, tokens = self.size, self.tokens
         if now > self.at:  # ``settle``, written out: this is what every request costs
@@ -40,11 +40,11 @@
         lacks = 1.0 + draw.free - tokens
         return 0.0 if lacks <= NEARLY else lacks / size.rate
 
-    def spend(self, draw: Draw) -> None:
+    def spend(self, draw: DrawTerms) -> None:
         """Take the token that ``ask`` has just found."""
         self.tokens -= 1.0
 
-    def give_back(self, draw: Draw) -> None:
+    def give_back(self, draw: DrawTerms) -> None:
         """Undo the last ``spend``, in the same moment."""
         self.tokens = min(self.size.burst, self.tokens + 1.0)
 
@@ -58,7 +58,7 @@
         other.tokens = self.tokens
         return other
 
-    def resized(self, size: Size, now: float) -> Bucket:
+    def resized(self, size: BucketSize, now: float) -> Bucket:
         """This bucket under other figures, with no token more; its reserves are empty. Settle first."""
         other = made(size, now)
         other.tokens = min(self.tokens, size.burst)
@@ -72,7 +72,7 @@
 
     __slots__ = ("_filling", "_full_at", "_heap", "_lacked_at", "_lacking", "_latest")
 
-    def __init__(self, size: Size, now: float) -> None:
+    def __init__(self, size: BucketSize, now: float) -> None:
         super().__init__(size, now)
         self._full_at = [now] * len(size.kept)  # of each reserve
         # One entry for each reserve that is not full, with a time at which it was to be, or a later one now.
@@ -101,7 +101,7 @@
             self._lacking = self._filling = 0.0  # what sums of floats have left over
         self._lacked_at = now
 
-    def ask(self, draw: Draw, now: float) -> float:
+    def ask(self, draw: DrawTerms, now: float) -> float:
         size, slot, tokens = self.size, draw.slot, self.tokens
         if now > self.at:
             tokens += (now - self.at) * size.rate
@@ -130,7 +130,7 @@
         # Never 0 here, which would let in what lacks a token: of a burst too small for its reserves.
         return max(plain, min(own, shared, filled)) or own
 
-    def spend(self, draw: Draw) -> None:
+    def spend(self, draw: DrawTerms) -> None:
         self.tokens -= 1.0
         if not self.own:
             return
@@ -146,7 +146,7 @@
         if full_at > self._latest:
             self._latest = full_at
 
-    def give_back(self, draw: Draw) -> None:
+    def give_back(self, draw: DrawTerms) -> None:
         super().give_back(draw)
         if self.own:
             self._full_at[draw.slot] -= 1.0 / self.size.fills[draw.slot]
@@ -177,6 +177,6 @@
         self._latest, self._lacked_at = max(self._full_at), self.at
 
 
-def made(size: Size, now: float) -> Bucket:
+def made(size: BucketSize, now: float) -> Bucket:
     """A full bucket of that size."""
     return PartedBucket(size, now) if size.kept else Bucket(size, now)
--- a/lupinlink/quota/checks.py
+++ b/lupinlink/quota/checks.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Iterator
 
+from lupinlink.quota.bucket_shares import current_parameters, reserve
 from lupinlink.quota.errors import (
     GuaranteedError,
     NeverReachedError,
@@ -17,25 +18,26 @@
     UnknownNameError,
 )
 from lupinlink.quota.model import Limit, Place, Policy
-from lupinlink.quota.reach import Known, Region, narrowed, taken
-from lupinlink.quota.schedules import together
-from lupinlink.quota.shares import figures_of, reserve
+from lupinlink.quota.reachability import KnownNames, Region, narrowed, taken
+from lupinlink.quota.schedules import schedule_combinations
 
 SUMS = 1e-9  # a share: what sums of floats may be over
 
 
-def checked(policy: Policy, known: Known) -> list[PolicyError]:
+def check_policy(policy: Policy, known: KnownNames) -> list[PolicyError]:
     """All findings, each once, in the order of the text; expected cases are not run."""
     findings = [*_names(policy, known), *_reached(policy, known), *_retry_after(policy, known)]
     sizes: dict[tuple[str, str], PolicyError] = {}
-    for holding in sorted(together(policy.schedules), key=lambda names: (len(names), sorted(names))):
+    for holding in sorted(
+        schedule_combinations(policy.schedules), key=lambda names: (len(names), sorted(names))
+    ):
         when = f" during {' and '.join(sorted(holding))}" if holding else ""
-        for key, finding in _sizes(policy.at(holding), when):
+        for key, finding in _sizes(policy.limits_during(holding), when):
             sizes.setdefault(key, finding)
     return sorted([*findings, *sizes.values()], key=lambda one: (one.place.line, one.place.column))
 
 
-def _names(policy: Policy, known: Known) -> Iterator[PolicyError]:
+def _names(policy: Policy, known: KnownNames) -> Iterator[PolicyError]:
     there = {"class": known.classes, "tenant": known.tenants, "zone": known.zones}
 
     def unknown(kind: str, name: str, place: Place) -> Iterator[PolicyError]:
@@ -49,7 +51,7 @@
             for name in names:
                 yield from unknown(kind, name, match.places.get((kind, name), limit.place))
     paths = {limit.path for limit in policy.limits}
-    for expect in policy.expects:
+    for expect in policy.expected_cases:
         asked = expect.asked
         for kind, name in (("class", asked.class_name), ("tenant", asked.tenant), ("zone", asked.zone)):
             yield from unknown(kind, name, expect.place)
@@ -58,7 +60,7 @@
                 yield UnknownNameError(f"there is no quota {path}", expect.place)
 
 
-def _reached(policy: Policy, known: Known) -> Iterator[PolicyError]:
+def _reached(policy: Policy, known: KnownNames) -> Iterator[PolicyError]:
     regions: dict[str, Region | None] = {"": Region()}
     before: dict[str, list[tuple[str, Region]]] = {}
     for limit in policy.limits:
@@ -71,7 +73,7 @@
             text = f"no request that comes to {limit.parent} matches {limit.path}"
             yield NeverReachedError(text, limit.place)
             continue
-        if region.second_try and not known.marks_second_tries:
+        if region.second_try and not known.marks_retries:
             text = f"clients do not mark second tries, says the settings' ClientHabits: {limit.path}"
             yield NeverReachedError(text + " is never reached", limit.place)
         if not limit.parent:
@@ -105,7 +107,7 @@
     for path, parts in promised.items():
         outer = by_path[path]
         total = sum(limit.guaranteed_per_s for limit in parts)
-        kept = sum(reserve(figures_of(outer), figures_of(limit)) for limit in parts)
+        kept = sum(reserve(current_parameters(outer), current_parameters(limit)) for limit in parts)
         if total > outer.rate_per_s * (1.0 + SUMS):
             text = f"the parts of {path} are guaranteed {total:g}/s, it has {outer.rate_per_s:g}/s{when}"
             yield (path, "guaranteed"), GuaranteedError(text, outer.place)
@@ -116,15 +118,17 @@
             yield (path, "reserves"), GuaranteedError(text, outer.place)
 
 
-def _retry_after(policy: Policy, known: Known) -> Iterator[PolicyError]:
+def _retry_after(policy: Policy, known: KnownNames) -> Iterator[PolicyError]:
     by_path = {limit.path: limit for limit in policy.limits}
     for limit in policy.limits:
         outer = by_path.get(limit.parent)
-        said_before = outer is not None and not outer.shadow and outer.says_when == limit.says_when
-        if limit.shadow or said_before or limit.says_when == (known.most_retry_after_ms > 0.0):
+        said_before = (
+            outer is not None and not outer.shadow and outer.sends_retry_after == limit.sends_retry_after
+        )
+        if limit.shadow or said_before or limit.sends_retry_after == (known.max_retry_after_ms > 0.0):
             continue
         classes = ", ".join(limit.match.classes) or "every class"
-        if limit.says_when:
+        if limit.sends_retry_after:
             text = f"{limit.path} refuses {classes}, and the settings allow no Retry-After"
         else:
             text = f"{limit.path} refuses {classes} without Retry-After, which the settings allow"
--- a/lupinlink/quota/compiled.py
+++ b/lupinlink/quota/compiled_policy.py
@@ -4,30 +4,30 @@
 
 from collections.abc import Sequence
 
-from lupinlink.quota.model import BETWEEN, Asked, Charge, Limit, Purse, Short, Verdict
-from lupinlink.quota.parts import Step, Ways
+from lupinlink.quota.limit_lookup import LimitLookup, LimitStep
+from lupinlink.quota.model import VALUE_SEPARATOR, Charge, Limit, QuotaRequest, Shortfall, TokenStore, Verdict
 
-MOST_WAYS = 20_000  # combinations of names that are remembered
-MOST_RECENT = 4096  # of them as requests spell them
+MAX_PLANS = 20_000  # combinations of names that are remembered
+MAX_RECENT_PLANS = 4096  # of them as requests spell them
 make = tuple.__new__  # a third of the time of calling ``Charge``
 ALLOWED = Verdict(True)
 OTHER = "\x00"  # every name that no limit tells apart
 
 Names = tuple[str, str, str, bool]
-Bill = tuple[Sequence[Charge], Sequence[Charge]]  # what is charged, and what would be in shadow mode
+ChargeLists = tuple[Sequence[Charge], Sequence[Charge]]  # what is charged, and what would be in shadow mode
 
 
-class Way:
+class MatchPlan:
     """What requests of the same class, tenant, zone and try have in common."""
 
-    def __init__(self, roots: tuple[Step, ...]) -> None:
+    def __init__(self, roots: tuple[LimitStep, ...]) -> None:
         self._roots = roots
         # The way itself where names alone decide it, and what is charged where there are no values either.
         self._steps = [step for root in roots for step in _chain(root)] if all(map(_named, roots)) else None
         valued = any(step.value is not None for step in self._steps or ())
-        self.always = None if valued or self._steps is None else self.walk(Asked(""))
+        self.always = None if valued or self._steps is None else self.walk(QuotaRequest(""))
 
-    def walk(self, asked: Asked) -> Bill:
+    def walk(self, asked: QuotaRequest) -> ChargeLists:
         """What a request is charged."""
         charges: list[Charge] = []
         shadows: list[Charge] = []
@@ -35,7 +35,7 @@
         for step in self._steps if self._steps is not None else self._find(asked):
             own = step.value
             if own is not None:
-                value = value + BETWEEN + own(asked) if step.nested else own(asked)
+                value = value + VALUE_SEPARATOR + own(asked) if step.nested else own(asked)
                 charge = make(Charge, (step.limit, value))
             else:
                 charge = make(Charge, (step.limit, value)) if step.nested else step.charge
@@ -45,10 +45,10 @@
                 charges.append(charge)
         return charges, shadows
 
-    def _find(self, asked: Asked) -> list[Step]:
+    def _find(self, asked: QuotaRequest) -> list[LimitStep]:
         found = []
         for root in self._roots:
-            step: Step | None = root if root.free or root.fits(asked) else None
+            step: LimitStep | None = root if root.free or root.fits(asked) else None
             while step is not None:
                 found.append(step)
                 parts = step.parts
@@ -56,44 +56,44 @@
         return found
 
 
-def _chain(step: Step) -> list[Step]:
+def _chain(step: LimitStep) -> list[LimitStep]:
     """The steps that follow where names alone decide."""
     return [step, *(_chain(step.parts.steps[0]) if step.parts is not None else ())]
 
 
-def _named(step: Step) -> bool:
+def _named(step: LimitStep) -> bool:
     """Whether names alone decide which limits follow from here on."""
     return step.free and (step.parts is None or _named(step.parts.steps[0]))
 
 
-class Compiled:
+class CompiledPolicy:
     """A policy's limits, ready to decide. Other figures change nothing here, as they are the purse's."""
 
-    def __init__(self, limits: Sequence[Limit], most_retry_after_ms: float) -> None:
+    def __init__(self, limits: Sequence[Limit], max_retry_after_ms: float) -> None:
         """``most_retry_after_ms``: what the settings allow; 0: no Retry-After at all."""
         self.limits = tuple(limits)
-        self._most_retry_after_ms = most_retry_after_ms
-        self._ways = Ways(self.limits)
-        self._recent: dict[Names, Way] = {}
-        self._known: dict[Names, Way] = {}
+        self._most_retry_after_ms = max_retry_after_ms
+        self._ways = LimitLookup(self.limits)
+        self._recent: dict[Names, MatchPlan] = {}
+        self._known: dict[Names, MatchPlan] = {}
         # Names that no limit tells apart from the rest are one to it: their number is not ours to bound.
         self._classes = {name for limit in limits for name in limit.match.classes}
         self._tenants = {name for limit in limits for name in limit.match.tenants}
         self._zones = {name for limit in limits for name in limit.match.zones}
 
-    def bill(self, asked: Asked) -> Bill:
+    def charges_for(self, asked: QuotaRequest) -> ChargeLists:
         """The limits that a request comes to: those that are charged, and those in shadow mode. Not yours
         to change."""
         names = (asked.class_name, asked.tenant, asked.zone, asked.second_try)
         way = self._recent.get(names)
         if way is None:
             way = self._way(asked)
-            if len(self._recent) >= MOST_RECENT:
+            if len(self._recent) >= MAX_RECENT_PLANS:
                 self._recent.clear()
             self._recent[names] = way
         return way.always or way.walk(asked)
 
-    def _way(self, asked: Asked) -> Way:
+    def _way(self, asked: QuotaRequest) -> MatchPlan:
         names = (
             asked.class_name if asked.class_name in self._classes else OTHER,
             asked.tenant if asked.tenant in self._tenants else OTHER,
@@ -102,36 +102,38 @@
         )
         way = self._known.get(names)
         if way is None:
-            if len(self._known) >= MOST_WAYS:
+            if len(self._known) >= MAX_PLANS:
                 self._known.clear()
-            way = self._known[names] = Way(self._ways.find(asked))
+            way = self._known[names] = MatchPlan(self._ways.find(asked))
         return way
 
-    def decide(self, asked: Asked, now_ms: float, purse: Purse) -> Verdict:
+    def decide(self, asked: QuotaRequest, now_ms: float, purse: TokenStore) -> Verdict:
         """Let it in and charge every limit that it comes to, or refuse it and charge none."""
-        charges, shadows = self.bill(asked)
+        charges, shadows = self.charges_for(asked)
         if charges:
             short = purse.take(charges, now_ms)
             if short is not None:
                 return self.refused(short)
         return self.shadowed(shadows, now_ms, purse) if shadows else ALLOWED
 
-    def refused(self, short: Short) -> Verdict:
+    def refused(self, short: Shortfall) -> Verdict:
         """The refusal by a limit; Retry-After is when its token comes, as far as the settings allow."""
         limit = self.limits[short.limit]
-        wait = min(short.retry_after_ms, self._most_retry_after_ms) if limit.says_when else 0.0
+        wait = min(short.retry_after_ms, self._most_retry_after_ms) if limit.sends_retry_after else 0.0
         return Verdict(False, limit.path, wait)
 
-    def shadowed(self, shadows: Sequence[Charge], now_ms: float, purse: Purse) -> Verdict:
+    def shadowed(self, shadows: Sequence[Charge], now_ms: float, purse: TokenStore) -> Verdict:
         """Charge the limits in shadow mode for a request that is let in, whatever they say."""
         short = purse.take(shadows, now_ms)
         return ALLOWED if short is None else Verdict(True, shadowed=self.limits[short.limit].path)
 
 
-def decide_all(versions: Sequence[tuple[Compiled, Purse]], asked: Asked, now_ms: float) -> Verdict:
+def decide_all_versions(
+    versions: Sequence[tuple[CompiledPolicy, TokenStore]], asked: QuotaRequest, now_ms: float
+) -> Verdict:
     """While several versions are in force each must allow a request, and it is charged by all or none."""
-    taken: list[tuple[Purse, Sequence[Charge]]] = []
-    bills = [compiled.bill(asked) for compiled, _ in versions]
+    taken: list[tuple[TokenStore, Sequence[Charge]]] = []
+    bills = [compiled.charges_for(asked) for compiled, _ in versions]
     for (compiled, purse), (charges, _) in zip(versions, bills, strict=True):
         short = purse.take(charges, now_ms)
         if short is not None:
--- a/lupinlink/quota/tally.py
+++ b/lupinlink/quota/decision_counts.py
@@ -7,7 +7,7 @@
 from lupinlink.quota.model import Verdict
 
 
-class Tally:
+class DecisionCounts:
     """Counts of one process since it began; no more rows than the policies it had have limits."""
 
     def __init__(self) -> None:
--- a/lupinlink/quota/errors.py
+++ b/lupinlink/quota/errors.py
@@ -25,7 +25,7 @@
         return f"{file}:{self.place.line}:{self.place.column}: {self.line()}"
 
 
-class SyntaxFaultError(PolicyError):
+class PolicySyntaxError(PolicyError):
     """The text is not in the language; nothing after this place was looked at."""
 
     code = "LL301"
--- a/lupinlink/quota/cases.py
+++ b/lupinlink/quota/expected_cases.py
@@ -4,27 +4,27 @@
 
 from collections.abc import Iterator
 
-from lupinlink.quota.compiled import Compiled
+from lupinlink.quota.compiled_policy import CompiledPolicy
 from lupinlink.quota.errors import ExpectError
-from lupinlink.quota.model import Expect, Policy
-from lupinlink.quota.purse import LocalPurse
-from lupinlink.quota.schedules import holding
+from lupinlink.quota.local_token_store import LocalTokenStore
+from lupinlink.quota.model import ExpectedCase, Policy
+from lupinlink.quota.schedules import schedules_on
 
 
-def failed(policy: Policy) -> Iterator[ExpectError]:
+def failed_cases(policy: Policy) -> Iterator[ExpectError]:
     """The cases that come out otherwise. Each has full buckets, and all its requests in one moment."""
-    for expect in policy.expects:
-        names = holding(policy.schedules, expect.on) if expect.on else frozenset[str]()
+    for expect in policy.expected_cases:
+        names = schedules_on(policy.schedules, expect.on) if expect.on else frozenset[str]()
         said = _said(policy, names, expect)
         if said:
             yield ExpectError(said, expect.place)
 
 
-def _said(policy: Policy, names: frozenset[str], expect: Expect) -> str:
-    limits = policy.at(names)
-    compiled, purse = Compiled(limits, 0.0), LocalPurse(limits)
+def _said(policy: Policy, names: frozenset[str], expect: ExpectedCase) -> str:
+    limits = policy.limits_during(names)
+    compiled, purse = CompiledPolicy(limits, 0.0), LocalTokenStore(limits)
     if expect.limits is not None:
-        charges, shadows = compiled.bill(expect.asked)
+        charges, shadows = compiled.charges_for(expect.asked)
         charged = {limits[charge.limit].path for charge in (*charges, *shadows)}
         if charged != set(expect.limits):
             return f"it is charged {', '.join(sorted(charged)) or 'nothing'}"
--- a/lupinlink/quota/language/matching.py
+++ b/lupinlink/quota/language/match_statements.py
@@ -12,7 +12,7 @@
 from lupinlink.quota.language.parsing import Node, place_of
 from lupinlink.quota.model import Match, Network, Place
 
-MOST_VALUES = 100_000  # buckets of one quota; one with its entry is some 300 bytes
+MAX_VALUES = 100_000  # buckets of one quota; one with its entry is some 300 bytes
 NAMED_VALUES = 1000  # buckets where the settings bound the values: classes, tenants, zones
 BITS, BITS6 = 32, 64  # of an address: an IPv6 client has a network of 64 bits to itself
 
@@ -115,7 +115,7 @@
     if mosts:
         number = mosts[0].children[0]
         assert isinstance(number, Token)
-        most = whole(number, 1, MOST_VALUES, "'most'", findings)
+        most = whole(number, 1, MAX_VALUES, "'most'", findings)
     elif field in ("key", "address") or outer.most > 1:
         inside = " inside another 'by'" if outer.most > 1 else ""
         text = f"'by {field}'{inside} has no bound on its values"
--- a/lupinlink/quota/language/parsing.py
+++ b/lupinlink/quota/language/parsing.py
@@ -10,7 +10,7 @@
 from lark.exceptions import UnexpectedEOF, UnexpectedInput, UnexpectedToken
 from lark.lexer import PatternStr
 
-from lupinlink.quota.errors import SyntaxFaultError
+from lupinlink.quota.errors import PolicySyntaxError
 from lupinlink.quota.model import Place
 
 Node = Tree[Token]
@@ -54,7 +54,7 @@
         raise _fault(text, exc) from exc
 
 
-def _fault(text: str, exc: UnexpectedInput) -> SyntaxFaultError:
+def _fault(text: str, exc: UnexpectedInput) -> PolicySyntaxError:
     at_end = isinstance(exc, UnexpectedEOF) or (isinstance(exc, UnexpectedToken) and exc.token.type == "$END")
     if at_end:
         lines = text.split("\n")
@@ -64,7 +64,7 @@
         rest = text.split("\n")[exc.line - 1][exc.column - 1 :]
         met = f"{(rest.split() or [rest])[0][:SHOWN]!r} cannot stand here"
     words = ", ".join(sorted(_name(terminal) for terminal in _wanted(text)))
-    return SyntaxFaultError(f"{met}; there may stand: {words}", place)
+    return PolicySyntaxError(f"{met}; there may stand: {words}", place)
 
 
 def _wanted(text: str) -> set[str]:
--- a/lupinlink/quota/language/printing.py
+++ b/lupinlink/quota/language/printing.py
@@ -4,12 +4,12 @@
 
 import re
 
-from lupinlink.quota.model import Asked, Expect, Figures, Limit, Policy, Schedule
+from lupinlink.quota.model import ExpectedCase, Limit, Policy, QuotaRequest, RateParameters, Schedule
 
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_.-]*")
 
 
-def printed(policy: Policy) -> str:
+def print_policy(policy: Policy) -> str:
     """Text that reads as the same policy (``reading.read``), whatever form it was written in."""
     inside: dict[str, list[Limit]] = {}
     for limit in policy.limits:
@@ -19,7 +19,7 @@
     lines += [_schedule(schedule) for schedule in policy.schedules]
     for root in inside.get("", []):
         lines += _quota(root, inside, paths, "")
-    lines += [_expect(expect) for expect in policy.expects]
+    lines += [_expect(expect) for expect in policy.expected_cases]
     return "\n".join(lines) + "\n"
 
 
@@ -38,16 +38,18 @@
     return f"schedule {schedule.name}: from {month:02}-{day:02} to {month_2:02}-{day_2:02}"
 
 
-def _figures(figures: Figures) -> str:
-    text = f"rate {figures.rate_per_s!r}/s burst {figures.burst!r}"
-    return text + (f" guaranteed {figures.guaranteed_per_s!r}/s" if figures.guaranteed_per_s else "")
+def _figures(parameters: RateParameters) -> str:
+    text = f"rate {parameters.rate_per_s!r}/s burst {parameters.burst!r}"
+    return text + (f" guaranteed {parameters.guaranteed_per_s!r}/s" if parameters.guaranteed_per_s else "")
 
 
 def _quota(limit: Limit, inside: dict[str, list[Limit]], paths: dict[str, Limit], indent: str) -> list[str]:
     outer = paths.get(limit.parent)
-    usual = limit.usual or Figures(limit.rate_per_s, limit.burst, limit.guaranteed_per_s)
-    said = [_figures(usual)]
-    said += [f"during {season.schedule} {{ {_figures(season.figures)} }}" for season in limit.seasons]
+    default_parameters = limit.default_parameters or RateParameters(
+        limit.rate_per_s, limit.burst, limit.guaranteed_per_s
+    )
+    said = [_figures(default_parameters)]
+    said += [f"during {season.schedule} {{ {_figures(season.parameters)} }}" for season in limit.overrides]
     match = limit.match
     for kind, names in (
         ("class", match.classes), ("tenant", match.tenants), ("zone", match.zones),
@@ -60,14 +62,14 @@
     if match.second_try is not None:
         said.append("match second-try" if match.second_try else "match first-try")
     if limit.by:
-        bits = f" /{limit.by_bits} /{limit.by_bits6}" if limit.by == "address" else ""
-        said.append(f"by {limit.by}{bits} most {limit.most_values}")
+        bits = f" /{limit.by_ipv4_bits} /{limit.by_ipv6_bits}" if limit.by == "address" else ""
+        said.append(f"by {limit.by}{bits} most {limit.max_values}")
     if limit.worth != 1.0:
         said.append(f"worth {limit.worth!r}")
     if not limit.borrows:
         said.append("borrows no")
-    if limit.says_when != (outer.says_when if outer else True):
-        said.append(f"retry-after {'yes' if limit.says_when else 'no'}")
+    if limit.sends_retry_after != (outer.sends_retry_after if outer else True):
+        said.append(f"retry-after {'yes' if limit.sends_retry_after else 'no'}")
     if limit.shadow and not (outer and outer.shadow):
         said.append("shadow")
     lines = [f"{indent}quota {limit.path.rpartition('/')[2]} {{", *(f"{indent}  {one}" for one in said)]
@@ -76,7 +78,7 @@
     return [*lines, f"{indent}}}"]
 
 
-def _about(asked: Asked) -> str:
+def _about(asked: QuotaRequest) -> str:
     said = [
         f"{kind} {_word(value)}"
         for kind, value in (
@@ -89,7 +91,7 @@
     return " ".join(said)
 
 
-def _expect(expect: Expect) -> str:
+def _expect(expect: ExpectedCase) -> str:
     text = f"expect {expect.count} of {_about(expect.asked)}"
     text += f" on {expect.on.isoformat()}" if expect.on else ""
     if expect.refused_by:
--- a/lupinlink/quota/language/quotas.py
+++ b/lupinlink/quota/language/quota_blocks.py
@@ -7,14 +7,14 @@
 from lark import Token
 
 from lupinlink.quota.errors import PolicyError, StatementError, UnknownNameError
-from lupinlink.quota.language import figures
-from lupinlink.quota.language.matching import Counted, counted, matched
+from lupinlink.quota.language import rate_statements
+from lupinlink.quota.language.match_statements import Counted, counted, matched
 from lupinlink.quota.language.parsing import Node, place_of
-from lupinlink.quota.model import Figures, Limit, Place
+from lupinlink.quota.model import Limit, Place, RateParameters
 
-MOST_DEPTH = 8  # quotas in one another
-MOST_LIMITS = 500  # in a file
-MOST_WORTH = 1e6
+MAX_DEPTH = 8  # quotas in one another
+MAX_LIMITS = 500  # in a file
+MAX_WORTH = 1e6
 
 
 @dataclass(slots=True)
@@ -31,10 +31,10 @@
     name = str(node.children[0])
     path = f"{outer.path}/{name}" if outer else name
     place, findings = place_of(node), reading.findings
-    if path in reading.limits or depth > MOST_DEPTH or len(reading.limits) >= MOST_LIMITS:
+    if path in reading.limits or depth > MAX_DEPTH or len(reading.limits) >= MAX_LIMITS:
         what = f"there is a quota {path} already"
         if path not in reading.limits:
-            what = f"quotas stand at most {MOST_DEPTH} deep in one another, and {MOST_LIMITS} in a file"
+            what = f"quotas stand at most {MAX_DEPTH} deep in one another, and {MAX_LIMITS} in a file"
         findings.append(StatementError(what, place))
         return
     nodes = [child for child in node.children[1:] if not isinstance(child, Token)]
@@ -58,14 +58,16 @@
     path: str, of: dict[str, list[Node]], outer: Limit | None, by: Counted, place: Place, reading: Reading
 ) -> Limit | None:
     findings = reading.findings
-    said = figures.stated([n for word in figures.WORDS for n in of.get(word, [])], "", findings)
-    base = figures.usual(said, outer.usual if outer else None)
+    said = rate_statements.stated(
+        [n for word in rate_statements.WORDS for n in of.get(word, [])], "", findings
+    )
+    base = rate_statements.default_parameters(said, outer.default_parameters if outer else None)
     if base is None:
         findings.append(StatementError(f"{path} has no rate, and no quota round it has one", place))
         return None
     if by.by and said.rate is None:
         findings.append(StatementError(f"{path} counts by {by.by} and has no rate of its own", place))
-    blocks: list[tuple[str, Place, figures.Stated]] = []
+    blocks: list[tuple[str, Place, rate_statements.Stated]] = []
     for node in of.get("during", []):
         name, spot = str(node.children[0]), place_of(node)
         if name not in reading.schedules:
@@ -73,7 +75,7 @@
         if name in [block[0] for block in blocks]:
             findings.append(StatementError(f"'during {name}' stands here a second time", spot))
         inner = [child for child in node.children if not isinstance(child, Token)]
-        blocks.append((name, spot, figures.stated(inner, said.unit, findings)))
+        blocks.append((name, spot, rate_statements.stated(inner, said.unit, findings)))
     limit = Limit(
         path=path,
         rate_per_s=base.rate_per_s,
@@ -83,14 +85,14 @@
         borrows=_yes(of.get("borrows"), True),
         worth=_worth(of.get("worth"), findings),
         by=by.by,
-        by_bits=by.bits,
-        by_bits6=by.bits6,
-        most_values=by.most,
+        by_ipv4_bits=by.bits,
+        by_ipv6_bits=by.bits6,
+        max_values=by.most,
         shadow="shadow" in of or (outer is not None and outer.shadow),
-        says_when=_yes(of.get("retry"), outer.says_when if outer else True),
+        sends_retry_after=_yes(of.get("retry"), outer.sends_retry_after if outer else True),
         match=matched(of.get("match", []), findings),
-        seasons=figures.seasons(said, blocks, base, outer.seasons if outer else ()),
-        usual=base,
+        overrides=rate_statements.overrides(said, blocks, base, outer.overrides if outer else ()),
+        default_parameters=base,
         place=place,
     )
     _fits(limit, of, findings)
@@ -99,7 +101,10 @@
 
 def _fits(limit: Limit, of: dict[str, list[Node]], findings: list[PolicyError]) -> None:
     """Statements that do not go with one another."""
-    every = [limit.usual or Figures(0.0, 0.0), *(season.figures for season in limit.seasons)]
+    every = [
+        limit.default_parameters or RateParameters(0.0, 0.0),
+        *(season.parameters for season in limit.overrides),
+    ]
     guaranteed = any(one.guaranteed_per_s for one in every)
     if not limit.parent:
         for kind in ("guaranteed", "borrows", "worth"):
@@ -125,7 +130,7 @@
     if not nodes:
         return 1.0
     worth = float(str(nodes[0].children[0]))
-    if not 0.0 < worth <= MOST_WORTH:
-        findings.append(StatementError(f"'worth' must be over 0, at most {MOST_WORTH:g}", place_of(nodes[0])))
+    if not 0.0 < worth <= MAX_WORTH:
+        findings.append(StatementError(f"'worth' must be over 0, at most {MAX_WORTH:g}", place_of(nodes[0])))
         return 1.0
     return worth
--- a/lupinlink/quota/language/figures.py
+++ b/lupinlink/quota/language/rate_statements.py
@@ -7,10 +7,12 @@
 
 from lupinlink.quota.errors import PolicyError, StatementError, UnitsError
 from lupinlink.quota.language.parsing import Node, place_of
-from lupinlink.quota.model import Figures, Place, Season
+from lupinlink.quota.model import Place, RateParameters, ScheduledOverride
 
 SECONDS = {"/s": 1.0, "/min": 60.0, "/h": 3600.0}
-MOST = 1e9  # a second, and of a burst: beyond it the floats of a bucket no longer tell single tokens well
+MAX_AMOUNT = (
+    1e9  # a second, and of a burst: beyond it the floats of a bucket no longer tell single tokens well
+)
 WORDS = ("rate", "burst", "guaranteed")
 
 
@@ -39,16 +41,16 @@
             findings.append(UnitsError(f"'{word}' needs a unit: /s, /min or /h", place))
         elif word != "burst" and unit and given != unit:
             findings.append(UnitsError(f"'{word}' is given in {given}, before it stands {unit}", place))
-        elif not 0.0 < number / SECONDS.get(given, 1.0) <= MOST or (word == "burst" and number < 1.0):
+        elif not 0.0 < number / SECONDS.get(given, 1.0) <= MAX_AMOUNT or (word == "burst" and number < 1.0):
             least = "1" if word == "burst" else "over 0"
-            findings.append(StatementError(f"'{word}' must be {least}, and at most {MOST:g}", place))
+            findings.append(StatementError(f"'{word}' must be {least}, and at most {MAX_AMOUNT:g}", place))
         else:
             unit = unit or given
         values.setdefault(word, number / SECONDS.get(given, 1.0))
     return Stated(values.get("rate"), values.get("burst"), values.get("guaranteed"), unit)
 
 
-def usual(said: Stated, outer: Figures | None) -> Figures | None:
+def default_parameters(said: Stated, outer: RateParameters | None) -> RateParameters | None:
     """The figures outside all seasons; a part that states no rate has that of the limit round it.
 
     None: there is neither. A burst that is not stated is what the rate gives in a second, at least 1, and not
@@ -56,19 +58,21 @@
     """
     guaranteed = said.guaranteed or 0.0
     if said.rate is None:
-        return None if outer is None else Figures(outer.rate_per_s, said.burst or outer.burst, guaranteed)
+        return (
+            None if outer is None else RateParameters(outer.rate_per_s, said.burst or outer.burst, guaranteed)
+        )
     burst = said.burst or max(1.0, said.rate)
     if said.burst is None and outer is not None:
         burst = min(burst, outer.burst)
-    return Figures(said.rate, burst, guaranteed)
+    return RateParameters(said.rate, burst, guaranteed)
 
 
-def seasons(
+def overrides(
     said: Stated,
     blocks: Sequence[tuple[str, Place, Stated]],
-    base: Figures,
-    outer: Sequence[Season],
-) -> tuple[Season, ...]:
+    base: RateParameters,
+    outer: Sequence[ScheduledOverride],
+) -> tuple[ScheduledOverride, ...]:
     """The seasons of a limit. ``blocks``: those it states; ``outer``: those of the limit round it, which it
     has as well while it states no rate of its own.
 
@@ -83,12 +87,12 @@
         elif said.burst is None and block.rate is not None:
             burst = max(1.0, base.burst * rate / base.rate_per_s)
         guaranteed = base.guaranteed_per_s if block.guaranteed is None else block.guaranteed
-        found.append(Season(name, Figures(rate, burst, guaranteed)))
+        found.append(ScheduledOverride(name, RateParameters(rate, burst, guaranteed)))
     if said.rate is None:
         own = {season.schedule for season in found}
         for season in outer:
             if season.schedule not in own:
-                burst = said.burst or season.figures.burst
-                figures = Figures(season.figures.rate_per_s, burst, base.guaranteed_per_s)
-                found.append(Season(season.schedule, figures))
+                burst = said.burst or season.parameters.burst
+                parameters = RateParameters(season.parameters.rate_per_s, burst, base.guaranteed_per_s)
+                found.append(ScheduledOverride(season.schedule, parameters))
     return tuple(found)
--- a/lupinlink/quota/language/reading.py
+++ b/lupinlink/quota/language/reading.py
@@ -11,18 +11,18 @@
 from lark import Token
 
 from lupinlink.quota.errors import PolicyError, StatementError
-from lupinlink.quota.language.matching import Counted, whole, word
+from lupinlink.quota.language.match_statements import Counted, whole, word
 from lupinlink.quota.language.parsing import Node, parse, place_of
-from lupinlink.quota.language.quotas import Reading, read_quota
-from lupinlink.quota.model import Asked, Expect, Policy, Schedule
+from lupinlink.quota.language.quota_blocks import Reading, read_quota
+from lupinlink.quota.model import ExpectedCase, Policy, QuotaRequest, Schedule
 
-MOST_COUNT = 10_000  # requests of one expected case
-MOST_DAYS = 366
-MOST_SCHEDULES = 8  # all ways in which they may hold together are checked
+MAX_COUNT = 10_000  # requests of one expected case
+MAX_DAYS = 366
+MAX_SCHEDULES = 8  # all ways in which they may hold together are checked
 NAMES = {"class": "class_name", "tenant": "tenant", "zone": "zone", "key": "key", "address": "address"}
 
 
-def read(text: str) -> tuple[Policy, list[PolicyError]]:
+def read_policy(text: str) -> tuple[Policy, list[PolicyError]]:
     """The policy, and what is wrong with it; good for use only without findings. Raises SyntaxFaultError."""
     tree = parse(text)
     findings: list[PolicyError] = []
@@ -37,15 +37,17 @@
     schedules: dict[str, Schedule] = {}
     for node in of.get("schedule", []):
         schedule = _schedule(node, findings)
-        if schedule.name in schedules or len(schedules) >= MOST_SCHEDULES:
-            text = f"schedule {schedule.name} stands here a second time, or over {MOST_SCHEDULES} stand here"
+        if schedule.name in schedules or len(schedules) >= MAX_SCHEDULES:
+            text = f"schedule {schedule.name} stands here a second time, or over {MAX_SCHEDULES} stand here"
             findings.append(StatementError(text, place_of(node)))
         schedules[schedule.name] = schedule
     reading = Reading(frozenset(schedules), findings=findings)
     for node in of.get("quota", []):
         read_quota(node, None, Counted(), 1, reading)
-    expects = tuple(_expect(node, findings) for node in of.get("expect", []))
-    return Policy(version, tuple(reading.limits.values()), tuple(schedules.values()), expects), findings
+    expected_cases = tuple(_expect(node, findings) for node in of.get("expect", []))
+    return Policy(
+        version, tuple(reading.limits.values()), tuple(schedules.values()), expected_cases
+    ), findings
 
 
 def _token(node: Node, index: int) -> Token:
@@ -61,7 +63,7 @@
     if span.data == "before":
         period, feast = str(span.children[1]), str(span.children[2])
         days = 7 if period.startswith("week") else 1
-        count = whole(_token(span, 0), 1, MOST_DAYS // days, f"{period} before a feast", findings)
+        count = whole(_token(span, 0), 1, MAX_DAYS // days, f"{period} before a feast", findings)
         return replace(schedule, feast=feast, days=count * days)
     first, last = (_day(_token(span, i), findings) for i in (0, 1))
     return replace(schedule, first=first, last=last)
@@ -77,14 +79,14 @@
     return month, day
 
 
-def _expect(node: Node, findings: list[PolicyError]) -> Expect:
+def _expect(node: Node, findings: list[PolicyError]) -> ExpectedCase:
     of: dict[str, list[Node]] = {}
     for child in node.children:
         assert not isinstance(child, Token)
         of.setdefault(str(child.data), []).append(child)
     count = 1
     if "count" in of:
-        count = whole(_token(of["count"][0], 0), 1, MOST_COUNT, "the count of a case", findings)
+        count = whole(_token(of["count"][0], 0), 1, MAX_COUNT, "the count of a case", findings)
     refused_by = str(of["refusal"][0].children[0]) if "refusal" in of else ""
     admitted = 0
     if "admitted" in of:
@@ -98,7 +100,7 @@
     if "charged" in of:
         tokens = of["charged"][0].children
         limits = tuple(str(t) for t in tokens if isinstance(t, Token) and t.type == "PATH")
-    return Expect(
+    return ExpectedCase(
         _asked(of["about"], findings),
         count,
         admitted,
@@ -109,7 +111,7 @@
     )
 
 
-def _asked(nodes: list[Node], findings: list[PolicyError]) -> Asked:
+def _asked(nodes: list[Node], findings: list[PolicyError]) -> QuotaRequest:
     values: dict[str, str] = {}
     second_try = False
     for node in nodes:
@@ -121,7 +123,7 @@
         if name in values:
             findings.append(StatementError(f"'{field}' stands here a second time", place_of(node)))
         values[name] = str(value) if isinstance(value, Token) else word(_token(value, 0))
-    return Asked(
+    return QuotaRequest(
         values.get("class_name", ""),
         values.get("tenant", ""),
         values.get("zone", ""),
--- a/lupinlink/quota/parts.py
+++ b/lupinlink/quota/limit_lookup.py
@@ -11,44 +11,44 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from lupinlink.quota.model import Asked, Charge, Limit
-from lupinlink.quota.values import Ranges, parsed, value_of
+from lupinlink.quota.model import Charge, Limit, QuotaRequest
+from lupinlink.quota.request_values import AddressRanges, parsed, value_of
 
-FEW = 4  # so many parts are tried one after another
+MAX_LINEAR_SEARCH = 4  # so many parts are tried one after another
 
 
 @dataclass(slots=True, eq=False)
-class Step:
+class LimitStep:
     """One limit on the way of such requests."""
 
     limit: int
     shadow: bool
-    value: Callable[[Asked], str] | None
+    value: Callable[[QuotaRequest], str] | None
     nested: bool  # its values begin with those of the limits round it
     prefixes: tuple[str, ...]
-    ranges: Ranges | None
+    ranges: AddressRanges | None
     charge: Charge  # of one without values
     free: bool = field(init=False)  # every key and address matches
-    parts: Parts | None = field(init=False)  # None: there are none
+    parts: ChildLimits | None = field(init=False)  # None: there are none
 
     def __post_init__(self) -> None:
         self.free = not self.prefixes and self.ranges is None
 
-    def fits(self, asked: Asked) -> bool:
+    def fits(self, asked: QuotaRequest) -> bool:
         """Whether key and address match."""
         if self.prefixes and not asked.key.startswith(self.prefixes):
             return False
         return self.ranges is None or asked.address in self.ranges
 
 
-class Parts:
+class ChildLimits:
     """The parts of a limit that such requests can come to; the first that fits has them."""
 
-    def __init__(self, steps: Sequence[Step], limits: Sequence[Limit]) -> None:
+    def __init__(self, steps: Sequence[LimitStep], limits: Sequence[Limit]) -> None:
         """``steps``: in the order of the file, none behind the first free one."""
         self.steps = tuple(steps)
         self._last = steps[-1] if steps and steps[-1].free else None
-        self._few = len(steps) <= FEW
+        self._few = len(steps) <= MAX_LINEAR_SEARCH
         self._by_prefix: dict[str, list[int]] = {}
         self._by_range: dict[tuple[int, int, int], list[int]] = {}
         for i, step in enumerate(steps):
@@ -62,7 +62,7 @@
         self._lengths = sorted({len(prefix) for prefix in self._by_prefix})
         self._shifts = sorted({(version, shift) for version, shift, _ in self._by_range})
 
-    def pick(self, asked: Asked) -> Step | None:
+    def pick(self, asked: QuotaRequest) -> LimitStep | None:
         """The part that has this request; None: it is of none."""
         if self._few:
             for step in self.steps:
@@ -88,7 +88,7 @@
         return self._last
 
 
-class Ways:
+class LimitLookup:
     """Finds the roots and parts for one combination of names."""
 
     def __init__(self, limits: Sequence[Limit]) -> None:
@@ -97,11 +97,11 @@
         for i, limit in enumerate(limits):
             self._inside.setdefault(limit.parent, []).append(i)
 
-    def find(self, asked: Asked) -> tuple[Step, ...]:
+    def find(self, asked: QuotaRequest) -> tuple[LimitStep, ...]:
         """The roots that requests named like this one can come to."""
         return tuple(self._steps("", asked, nested=False, first=False))
 
-    def _steps(self, path: str, asked: Asked, nested: bool, first: bool) -> list[Step]:
+    def _steps(self, path: str, asked: QuotaRequest, nested: bool, first: bool) -> list[LimitStep]:
         found = []
         for i in self._inside.get(path, ()):
             limit, match = self._limits[i], self._limits[i].match
@@ -112,10 +112,10 @@
                 or (match.second_try is not None and asked.second_try != match.second_try)
             ):
                 continue
-            ranges = Ranges(match.networks) if match.networks else None
-            step = Step(i, limit.shadow, value_of(limit), nested, match.key_prefixes, ranges, Charge(i))
+            ranges = AddressRanges(match.networks) if match.networks else None
+            step = LimitStep(i, limit.shadow, value_of(limit), nested, match.key_prefixes, ranges, Charge(i))
             inner = self._steps(limit.path, asked, nested or bool(limit.by), first=True)
-            step.parts = Parts(inner, self._limits) if inner else None
+            step.parts = ChildLimits(inner, self._limits) if inner else None
             found.append(step)
             if first and step.free:
                 break  # it takes all that is left
--- a/lupinlink/quota/loading.py
+++ b/lupinlink/quota/loading.py
@@ -5,38 +5,38 @@
 from pathlib import Path
 
 from lupinlink.coordination.contract import MOST_VALUE
-from lupinlink.quota.cases import failed
-from lupinlink.quota.checks import checked
-from lupinlink.quota.errors import BadPolicyError, PolicyError, PolicyFileError, SyntaxFaultError
-from lupinlink.quota.language.reading import read
+from lupinlink.quota.checks import check_policy
+from lupinlink.quota.errors import BadPolicyError, PolicyError, PolicyFileError, PolicySyntaxError
+from lupinlink.quota.expected_cases import failed_cases
+from lupinlink.quota.language.reading import read_policy
 from lupinlink.quota.model import NOWHERE, Policy
-from lupinlink.quota.reach import Known
+from lupinlink.quota.reachability import KnownNames
 
 
-def look(text: str, known: Known) -> tuple[Policy | None, list[PolicyError]]:
+def check_text(text: str, known: KnownNames) -> tuple[Policy | None, list[PolicyError]]:
     """The policy, None if it is not to be used, and all that was found, in the order of the text."""
     if len(text.encode()) > MOST_VALUE:
         return None, [PolicyFileError(f"a policy has at most {MOST_VALUE} bytes", NOWHERE)]
     try:
-        policy, findings = read(text)
-    except SyntaxFaultError as exc:
+        policy, findings = read_policy(text)
+    except PolicySyntaxError as exc:
         return None, [exc]
-    findings += checked(policy, known)
+    findings += check_policy(policy, known)
     if not findings:
-        findings += failed(policy)
+        findings += failed_cases(policy)
     findings.sort(key=lambda one: (one.place.line, one.place.column))
     return (None, findings) if findings else (policy, [])
 
 
-def load(text: str, known: Known, file: str) -> Policy:
+def load_policy(text: str, known: KnownNames, file: str) -> Policy:
     """The policy of a text; ``file`` names it in errors. Raises BadPolicyError with every finding."""
-    policy, findings = look(text, known)
+    policy, findings = check_text(text, known)
     if policy is None:
         raise BadPolicyError(file, findings)
     return policy
 
 
-def read_text(file: str) -> str:
+def read_policy_file(file: str) -> str:
     """A policy's file. Raises PolicyFileError."""
     try:
         return Path(file).read_text(encoding="utf-8")
@@ -44,6 +44,6 @@
         raise PolicyFileError(f"{file}: {exc}") from exc
 
 
-def load_file(file: str, known: Known) -> Policy:
+def load_policy_file(file: str, known: KnownNames) -> Policy:
     """The policy of a file. Raises PolicyFileError, BadPolicyError."""
-    return load(read_text(file), known, file)
+    return load_policy(read_policy_file(file), known, file)
--- a/lupinlink/quota/purse.py
+++ b/lupinlink/quota/local_token_store.py
@@ -11,41 +11,41 @@
 
 from collections.abc import Sequence
 
+from lupinlink.quota.bucket_shares import DrawTerms, divide
 from lupinlink.quota.buckets import Bucket, made
-from lupinlink.quota.model import Charge, Limit, Short
-from lupinlink.quota.shares import Draw, divide
+from lupinlink.quota.model import Charge, Limit, Shortfall
 
-make = tuple.__new__  # half the time of calling ``Short``
+make = tuple.__new__  # half the time of calling ``Shortfall``
 Table = dict[str, Bucket]
 
 
-class LocalPurse:
-    """A ``Purse`` of whole buckets: what one process may let in by itself."""
+class LocalTokenStore:
+    """A ``TokenStore`` of whole buckets: what one process may let in by itself."""
 
     def __init__(self, limits: Sequence[Limit]) -> None:
-        """``limits``: with the figures that hold (``Policy.at``). Every bucket is full at first."""
-        self._taken: list[tuple[Bucket, Draw]] = []  # by the last ``take``
+        """``limits``: from ``Policy.limits_during``. Every bucket is full at first."""
+        self._taken: list[tuple[Bucket, DrawTerms]] = []  # by the last ``take``
         self._set(limits)
         self._tables: list[Table] = [{} for _ in limits]  # by value, the one charged last at the end
         self._others: list[Bucket | None] = [None] * len(limits)  # of values that have none; None: full
 
     def _set(self, limits: Sequence[Limit]) -> None:
         index = {limit.path: i for i, limit in enumerate(limits)}
-        self._names = [(limit.path, *counted_by(limits, index, i)) for i, limit in enumerate(limits)]
+        self._names = [(limit.path, *value_fields(limits, index, i)) for i, limit in enumerate(limits)]
         self._sizes, self._draws = divide(limits)
         self._plain = [size.plain for size in self._sizes]
         # The last one is for an ``inner`` of -1: no limit is round it.
         self._parents = [*(index.get(limit.parent, -1) for limit in limits), -1]
         self._by_value = any(limit.by for limit in limits)
-        self._most = [limit.most_values for limit in limits]
+        self._most = [limit.max_values for limit in limits]
 
     def __len__(self) -> int:
         """Buckets held, those shared by further values not counted."""
         return sum(map(len, self._tables))
 
-    def take(self, charges: Sequence[Charge], now_ms: float) -> Short | None:
+    def take(self, charges: Sequence[Charge], now_ms: float) -> Shortfall | None:
         draws, parents, tables = self._draws, self._parents, self._tables
-        found: list[tuple[Bucket, Draw]] = []
+        found: list[tuple[Bucket, DrawTerms]] = []
         short, worst, inner = -1, 0.0, -1
         for limit, value in reversed(charges):
             bucket = tables[limit].get(value)
@@ -60,7 +60,7 @@
             inner = limit
         # Nothing was charged so far: all or none.
         if short >= 0:
-            return make(Short, (short, worst))
+            return make(Shortfall, (short, worst))
         self._taken = found
         for bucket, draw in found:
             bucket.spend(draw)
@@ -126,8 +126,8 @@
             self._others.append(shared)
 
 
-def counted_by(limits: Sequence[Limit], index: dict[str, int], i: int) -> tuple[tuple[str, int, int], ...]:
+def value_fields(limits: Sequence[Limit], index: dict[str, int], i: int) -> tuple[tuple[str, int, int], ...]:
     """The fields that a limit counts by, those of the limits round it first, with the bits of an address."""
     limit = limits[i]
-    outer = counted_by(limits, index, index[limit.parent]) if limit.parent else ()
-    return (*outer, (limit.by, limit.by_bits, limit.by_bits6)) if limit.by else outer
+    outer = value_fields(limits, index, index[limit.parent]) if limit.parent else ()
+    return (*outer, (limit.by, limit.by_ipv4_bits, limit.by_ipv6_bits)) if limit.by else outer
--- a/lupinlink/quota/model.py
+++ b/lupinlink/quota/model.py
@@ -3,7 +3,7 @@
 A policy is a list of limits that form trees (fleet, tenant, class). A request belongs to every tree whose
 root it matches; inside a limit it belongs to the first part that it matches. All limits on its way must allow
 it, and all are charged one token or none. Times are milliseconds of the monotonic clock; a wall-clock date
-only picks which of a limit's stated figures holds (``Policy.at``).
+only picks which of a limit's stated figures holds (``Policy.limits_during``).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from typing import NamedTuple, Protocol
 
 Network = IPv4Network | IPv6Network
-BETWEEN = "\x1f"  # of the values of nested ``by`` fields, outermost first
+VALUE_SEPARATOR = "\x1f"  # of the values of nested ``by`` fields, outermost first
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class RateParameters:
     """A limit's size: over any window of w seconds at most ``rate_per_s`` * w + ``burst`` are let in."""
 
     rate_per_s: float
@@ -53,11 +53,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Season:
+class ScheduledOverride:
     """Other figures, on the days of a schedule."""
 
     schedule: str
-    figures: Figures
+    parameters: RateParameters
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,19 +72,19 @@
     borrows: bool = True  # beyond the guaranteed part it may use what siblings leave; False: never
     worth: float = 1.0  # over 0; when the parent is short, parts of more worth go first
     by: str = ""  # class, tenant, zone, key or address: each value has its own bucket; empty: one
-    by_bits: int = 0  # of an IPv4 address that make its value
-    by_bits6: int = 0  # of an IPv6 address
-    most_values: int = 1  # buckets at a time, at most; values of the limits round it count along
+    by_ipv4_bits: int = 0  # of an IPv4 address that make its value
+    by_ipv6_bits: int = 0  # of an IPv6 address
+    max_values: int = 1  # buckets at a time, at most; values of the limits round it count along
     shadow: bool = False  # counts what it would refuse, and refuses nothing; so do all limits inside it
-    says_when: bool = True  # a refusal by it carries Retry-After
+    sends_retry_after: bool = True  # a refusal by it carries Retry-After
     match: Match = field(default_factory=Match)
-    seasons: tuple[Season, ...] = ()  # the first whose schedule holds
-    usual: Figures | None = None  # the figures outside all seasons; None: those above
+    overrides: tuple[ScheduledOverride, ...] = ()  # the first whose schedule holds
+    default_parameters: RateParameters | None = None  # the figures outside all seasons; None: those above
     place: Place = field(default=NOWHERE, compare=False)
 
 
 @dataclass(slots=True)  # not frozen: one is made for each request, and that would take three times as long
-class Asked:
+class QuotaRequest:
     """A request, as far as quotas look at it. Empty: it does not say."""
 
     class_name: str
@@ -108,10 +108,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expect:
+class ExpectedCase:
     """A case that the file states: so many like this at once, on a day, with full buckets."""
 
-    asked: Asked
+    asked: QuotaRequest
     count: int
     admitted: int
     refused_by: str = ""  # path of the limit that refuses the rest; empty: not said
@@ -127,21 +127,25 @@
     version: str
     limits: tuple[Limit, ...] = ()  # in the order of the file: each after the one round it
     schedules: tuple[Schedule, ...] = ()
-    expects: tuple[Expect, ...] = ()
+    expected_cases: tuple[ExpectedCase, ...] = ()
 
-    def at(self, holding: frozenset[str]) -> tuple[Limit, ...]:
+    def limits_during(self, holding: frozenset[str]) -> tuple[Limit, ...]:
         """The limits with the figures that hold while the schedules of these names do."""
         return tuple(_figured(limit, holding) for limit in self.limits)
 
 
 def _figured(limit: Limit, holding: frozenset[str]) -> Limit:
-    figures = limit.usual or Figures(limit.rate_per_s, limit.burst, limit.guaranteed_per_s)
-    figures = next((season.figures for season in limit.seasons if season.schedule in holding), figures)
+    parameters = limit.default_parameters or RateParameters(
+        limit.rate_per_s, limit.burst, limit.guaranteed_per_s
+    )
+    parameters = next(
+        (season.parameters for season in limit.overrides if season.schedule in holding), parameters
+    )
     return replace(
         limit,
-        rate_per_s=figures.rate_per_s,
-        burst=figures.burst,
-        guaranteed_per_s=figures.guaranteed_per_s,
+        rate_per_s=parameters.rate_per_s,
+        burst=parameters.burst,
+        guaranteed_per_s=parameters.guaranteed_per_s,
     )
 
 
@@ -152,17 +156,17 @@
     value: str = ""  # of ``by``, of this limit and those round it, with ``BETWEEN`` between; empty: no ``by``
 
 
-class Short(NamedTuple):
+class Shortfall(NamedTuple):
     """Why nothing was charged."""
 
     limit: int  # index of the limit whose token comes last
     retry_after_ms: float  # until it comes, if nobody else takes it; inf: not known when
 
 
-class Purse(Protocol):
+class TokenStore(Protocol):
     """The tokens that this process holds: whole buckets (one process) or slices of the fleet's."""
 
-    def take(self, charges: Sequence[Charge], now_ms: float) -> Short | None:
+    def take(self, charges: Sequence[Charge], now_ms: float) -> Shortfall | None:
         """Charge all, or none and say why. ``charges``: a limit always after the one round it."""
         ...
 
--- a/lupinlink/quota/reach.py
+++ b/lupinlink/quota/reachability.py
@@ -14,22 +14,24 @@
 from lupinlink.quota.model import Match, Network
 from lupinlink.settings import Settings
 
-MOST_KINDS = 20_000  # taken apart; beyond it only one earlier quota that takes all of a later one is seen
+MAX_COMBINATIONS = (
+    20_000  # taken apart; beyond it only one earlier quota that takes all of a later one is seen
+)
 ANYTHING = "\x00"  # a name that no quota mentions
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownNames:
     """What the settings say that a policy may name."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
-    most_retry_after_ms: float  # 0: refusals carry no Retry-After
-    marks_second_tries: bool
+    max_retry_after_ms: float  # 0: refusals carry no Retry-After
+    marks_retries: bool
 
     @classmethod
-    def of(cls, settings: Settings) -> Known:
+    def of(cls, settings: Settings) -> KnownNames:
         """Those of a process's settings."""
         return cls(
             tuple(one.name for one in settings.classes),
@@ -83,7 +85,7 @@
     return a if within(a, b) else b if within(b, a) else None
 
 
-def taken(region: Region, earlier: Sequence[Region], known: Known) -> bool:
+def taken(region: Region, earlier: Sequence[Region], known: KnownNames) -> bool:
     """Whether every request of a region is one of an earlier region."""
     if any(_covers(one, region) for one in earlier):
         return True
@@ -104,7 +106,7 @@
     kinds = product(product(*fields), tries, prefixes, networks)
     for number, ((cls, tenant, zone), second, prefix, network) in enumerate(kinds):
         kind = Region((_one(cls), _one(tenant), _one(zone)), second, prefix, network)
-        if number >= MOST_KINDS or not any(_covers(one, kind) for one in earlier):
+        if number >= MAX_COMBINATIONS or not any(_covers(one, kind) for one in earlier):
             return False
     return True
 
--- a/lupinlink/quota/values.py
+++ b/lupinlink/quota/request_values.py
@@ -8,7 +8,7 @@
 from operator import attrgetter
 from socket import AF_INET, AF_INET6, inet_pton
 
-from lupinlink.quota.model import Asked, Limit, Network
+from lupinlink.quota.model import Limit, Network, QuotaRequest
 
 REMEMBERED = 8192  # addresses whose parsing is remembered
 
@@ -40,7 +40,7 @@
     return ""
 
 
-class Ranges:
+class AddressRanges:
     """Whether an address is in one of many ranges: one look a length of range, whatever their number."""
 
     def __init__(self, networks: Iterable[Network]) -> None:
@@ -59,10 +59,10 @@
         return False
 
 
-def value_of(limit: Limit) -> Callable[[Asked], str] | None:
+def value_of(limit: Limit) -> Callable[[QuotaRequest], str] | None:
     """What finds a request's own value for a limit; None: it does not count by a field."""
-    bits, bits6 = limit.by_bits, limit.by_bits6
-    found: dict[str, Callable[[Asked], str]] = {
+    bits, bits6 = limit.by_ipv4_bits, limit.by_ipv6_bits
+    found: dict[str, Callable[[QuotaRequest], str]] = {
         "class": attrgetter("class_name"),
         "tenant": attrgetter("tenant"),
         "zone": attrgetter("zone"),
--- a/lupinlink/quota/schedules.py
+++ b/lupinlink/quota/schedules.py
@@ -34,7 +34,7 @@
     return easter(year) if name == "easter" else datetime.date(year, 12, 25)
 
 
-def holds(schedule: Schedule, day: datetime.date) -> bool:
+def applies_on(schedule: Schedule, day: datetime.date) -> bool:
     """Whether a schedule holds on that day. Before a feast: the ``days`` days up to its eve."""
     if not schedule.feast:
         first, last, now = schedule.first, schedule.last, (day.month, day.day)
@@ -43,9 +43,9 @@
     return any(0 < (_feast(schedule.feast, day.year + i) - day).days <= schedule.days for i in (0, 1))
 
 
-def holding(schedules: Iterable[Schedule], day: datetime.date) -> frozenset[str]:
+def schedules_on(schedules: Iterable[Schedule], day: datetime.date) -> frozenset[str]:
     """The names of all schedules that hold on that day, for ``Policy.at``."""
-    return frozenset(schedule.name for schedule in schedules if holds(schedule, day))
+    return frozenset(schedule.name for schedule in schedules if applies_on(schedule, day))
 
 
 @cache
@@ -55,13 +55,13 @@
     return tuple(dates.values())
 
 
-def together(schedules: Sequence[Schedule]) -> set[frozenset[str]]:
+def schedule_combinations(schedules: Sequence[Schedule]) -> set[frozenset[str]]:
     """Every set of schedules that can hold on one day, in years with every date of Easter."""
     years = _by_date() if any(one.feast == "easter" for one in schedules) else (2000,)
     found: set[frozenset[str]] = {frozenset()}
     for year in years:
         day = datetime.date(year, 1, 1)
         while day.year == year:
-            found.add(holding(schedules, day))
+            found.add(schedules_on(schedules, day))
             day += datetime.timedelta(days=1)
     return found
--- a/lupinlink/quota/sharing/dealing.py
+++ b/lupinlink/quota/sharing/dealing.py
@@ -12,8 +12,8 @@
 
 from collections.abc import Mapping, Sequence
 
+from lupinlink.quota.bucket_shares import DEFAULT_WORTH
 from lupinlink.quota.model import Charge, Limit
-from lupinlink.quota.shares import PLAIN_WORTH
 from lupinlink.quota.sharing.book import Key
 from lupinlink.quota.sharing.shape import Shape
 
@@ -93,7 +93,7 @@
         inside, direct = self._inside.get(charge, []), self._direct[charge]
         alone = sum(direct.values())
         parts = [(self.needs[i], self._limit(i).guaranteed_per_s, self._limit(i).worth) for i in inside]
-        got = split([*parts, (alone, 0.0, PLAIN_WORTH)], whole)
+        got = split([*parts, (alone, 0.0, DEFAULT_WORTH)], whole)
         # Where nobody lacks anything all get somewhat more, or every chance would be a refusal.
         spare = max(1.0, min(SPARE, whole / sum(got))) if sum(got) > 0.0 else 1.0
         rates: dict[Key, float] = {}
--- a/lupinlink/quota/sharing/policies.py
+++ b/lupinlink/quota/sharing/policies.py
@@ -140,7 +140,7 @@
             self._gateway.cannot[text.name] = str(error)
             self._told(error)
             return None
-        policy = replace(policy, limits=policy.at(frozenset(text.holding)))
+        policy = replace(policy, limits=policy.limits_during(frozenset(text.holding)))
         self._built[text.name] = policy
         return policy
 
--- a/lupinlink/quota/sharing/purse.py
+++ b/lupinlink/quota/sharing/purse.py
@@ -14,7 +14,7 @@
 import math
 from collections.abc import Collection, Iterator, Mapping, Sequence
 
-from lupinlink.quota.model import Charge, Limit, Short
+from lupinlink.quota.model import Charge, Limit, Shortfall
 from lupinlink.quota.sharing.floor import Floors
 from lupinlink.quota.sharing.shape import Shape
 from lupinlink.quota.sharing.terms import RATE_KEPT, Terms
@@ -66,7 +66,7 @@
 
 
 class SlicePurse:
-    """A ``Purse`` for one version of the policy."""
+    """A ``TokenStore`` for one version of the policy."""
 
     def __init__(
         self, limits: Sequence[Limit], terms: Terms, place: int, now_ms: float, trial: bool = False
@@ -95,7 +95,7 @@
     def __iter__(self) -> Iterator[tuple[Charge, Bucket]]:
         return iter(self._buckets.items())
 
-    def take(self, charges: Sequence[Charge], now_ms: float) -> Short | None:
+    def take(self, charges: Sequence[Charge], now_ms: float) -> Shortfall | None:
         buckets = []
         short = False
         for charge in charges:
@@ -123,7 +123,7 @@
                 bucket.asked -= 1
                 bucket.level = min(bucket.depth, bucket.level + 1.0)
 
-    def _refuse(self, charges: Sequence[Charge], buckets: Sequence[Bucket], now: float) -> Short:
+    def _refuse(self, charges: Sequence[Charge], buckets: Sequence[Bucket], now: float) -> Shortfall:
         # A request that another tree refuses needs no token here: its demand counts where it is refused.
         roots = self.shape.roots
         lacking = {roots[c.limit] for c, b in zip(charges, buckets, strict=True) if b.level < WHOLE}
@@ -133,7 +133,7 @@
                 bucket.asked += 1
             if bucket.level < WHOLE and (ms := self._wait_ms(charge, bucket, now)) > wait:
                 last, wait = charge.limit, ms
-        return Short(last, wait)
+        return Shortfall(last, wait)
 
     def _wait_ms(self, charge: Charge, bucket: Bucket, now: float) -> float:
         if bucket.depth >= WHOLE and bucket.rate > 0.0:
@@ -144,7 +144,7 @@
         return math.inf
 
     def _open(self, charge: Charge, now: float) -> Bucket:
-        if self._numbers[charge.limit] >= self._limits[charge.limit].most_values:
+        if self._numbers[charge.limit] >= self._limits[charge.limit].max_values:
             self._evict(charge.limit, now)
         floor = 0.0 if self.leaving else self._floors.of(charge, self._place)
         bucket = Bucket(floor, self.floor_from, self._since[charge.limit])
--- a/lupinlink/quota/sharing/shape.py
+++ b/lupinlink/quota/sharing/shape.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from lupinlink.quota.model import BETWEEN, Charge, Limit
+from lupinlink.quota.model import VALUE_SEPARATOR, Charge, Limit
 
 
 class Shape:
@@ -33,7 +33,9 @@
         fields = self._fields[up]
         if fields == self._fields[charge.limit]:
             return Charge(up, charge.value)
-        return Charge(up, BETWEEN.join(charge.value.split(BETWEEN)[:fields]) if fields else "")
+        return Charge(
+            up, VALUE_SEPARATOR.join(charge.value.split(VALUE_SEPARATOR)[:fields]) if fields else ""
+        )
 
     def inside(self, charges: Iterable[Charge]) -> dict[Charge | None, list[Charge]]:
         """The quotas right inside each; under None the roots. Whatever lies round one is there too."""
--- a/tests/quota_reference.py
+++ b/tests/quota_reference.py
@@ -11,7 +11,7 @@
 
 from hypothesis import strategies as st
 
-from lupinlink.quota.model import Asked, Figures, Limit, Match, Policy
+from lupinlink.quota.model import Limit, Match, Policy, QuotaRequest, RateParameters
 
 CLASSES, TENANTS, ZONES = ("look", "scan"), ("acme", "bolt"), ("a", "b")
 PREFIXES, KEYS = ("k", "k/1", "m"), ("", "k", "k/1", "k/12", "m")
@@ -19,7 +19,7 @@
 ADDRESSES = ("", "10.1.2.3", "10.1.9.9", "10.9.9.9", "::ffff:10.1.2.3", "2001:db8::1", "192.0.2.1", "none")
 
 asks = st.builds(
-    Asked,
+    QuotaRequest,
     st.sampled_from(CLASSES),
     st.sampled_from(("", *TENANTS)),
     st.sampled_from(ZONES),
@@ -62,13 +62,15 @@
         borrows=not guaranteed or guaranteed > rate or draw(st.booleans()),
         worth=draw(st.sampled_from((1.0, 3.0, 0.5))) if outer else 1.0,
         by=by,
-        by_bits=16 if by == "address" else 0,
-        by_bits6=48 if by == "address" else 0,
-        most_values=draw(st.integers(1, 3)) if by else outer.most_values if outer else 1,
+        by_ipv4_bits=16 if by == "address" else 0,
+        by_ipv6_bits=48 if by == "address" else 0,
+        max_values=draw(st.integers(1, 3)) if by else outer.max_values if outer else 1,
         shadow=(outer.shadow if outer else False) or draw(st.integers(0, 9)) == 0,
-        says_when=outer.says_when if outer else True,
+        sends_retry_after=outer.sends_retry_after if outer else True,
         match=draw(matches if outer or draw(st.booleans()) else st.just(Match())),
-        usual=Figures(float(rate), float(burst), guaranteed if guaranteed <= rate else 0.0),
+        default_parameters=RateParameters(
+            float(rate), float(burst), guaranteed if guaranteed <= rate else 0.0
+        ),
     )
     found = [limit]
     for i in range(draw(st.sampled_from((0, 2, 3, 4))) if depth == 1 else draw(st.integers(0, 3 - depth))):
@@ -83,7 +85,7 @@
     return Policy("v", tuple(found))
 
 
-def matched(match: Match, asked: Asked) -> bool:
+def matched(match: Match, asked: QuotaRequest) -> bool:
     try:
         address = ip_address(asked.address)
         address = getattr(address, "ipv4_mapped", None) or address
@@ -99,7 +101,7 @@
     )
 
 
-def way(policy: Policy, asked: Asked) -> list[Limit]:
+def way(policy: Policy, asked: QuotaRequest) -> list[Limit]:
     """All limits that a request comes to."""
 
     def inside(path: str) -> list[Limit]:
@@ -149,7 +151,7 @@
         if value in levels:
             return levels[value]
         fresh = Level(limit, self.parts(limit), now)
-        if len(levels) >= limit.most_values:
+        if len(levels) >= limit.max_values:
             oldest = next(iter(levels))
             if not levels[oldest].full():
                 return self.shared.setdefault(limit.path, fresh)
@@ -159,7 +161,7 @@
         levels[value] = fresh
         return fresh
 
-    def value(self, limit: Limit, asked: Asked) -> str:
+    def value(self, limit: Limit, asked: QuotaRequest) -> str:
         outer = [one for one in self.policy.limits if limit.path.startswith(one.path + "/")]
         values = []
         for one in (*outer, limit):
@@ -167,7 +169,7 @@
                 try:
                     address = ip_address(asked.address)
                     address = getattr(address, "ipv4_mapped", None) or address
-                    bits = one.by_bits if address.version == 4 else one.by_bits6
+                    bits = one.by_ipv4_bits if address.version == 4 else one.by_ipv6_bits
                     values.append(str(ip_network(f"{address}/{bits}", strict=False)))
                 except ValueError:
                     values.append("")
@@ -186,7 +188,7 @@
         free = room / 2 * worths.index(worth) / max(1, len(worths) - 1)
         return level.tokens >= 1 and level.tokens - sum(level.kept.values()) - free >= 1
 
-    def take(self, found: list[Limit], asked: Asked, now: int) -> bool:
+    def take(self, found: list[Limit], asked: QuotaRequest, now: int) -> bool:
         pairs = []
         for i in reversed(range(len(found))):
             part = found[i + 1] if i + 1 < len(found) and found[i + 1].parent == found[i].path else None
@@ -202,7 +204,7 @@
                 levels[value] = levels.pop(value)
         return True
 
-    def decide(self, asked: Asked, now: int) -> tuple[bool, bool]:
+    def decide(self, asked: QuotaRequest, now: int) -> tuple[bool, bool]:
         """Whether it comes in, and whether a limit in shadow mode would have refused it."""
         found = way(self.policy, asked)
         if not self.take([limit for limit in found if not limit.shadow], asked, now):
--- a/tests/test_quota_decision.py
+++ b/tests/test_quota_decision.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinlink.quota import parts
-from lupinlink.quota.compiled import MOST_RECENT, Compiled, decide_all
-from lupinlink.quota.language.reading import read
-from lupinlink.quota.model import Asked, Charge, Policy
-from lupinlink.quota.purse import LocalPurse
+from lupinlink.quota import limit_lookup
+from lupinlink.quota.compiled_policy import MAX_RECENT_PLANS, CompiledPolicy, decide_all_versions
+from lupinlink.quota.language.reading import read_policy
+from lupinlink.quota.local_token_store import LocalTokenStore
+from lupinlink.quota.model import Charge, Policy, QuotaRequest
 from tests.quota_reference import Reference, asks, policies
 
-Steps = list[tuple[int, Asked, int]]
+Steps = list[tuple[int, QuotaRequest, int]]
 steps = st.lists(
     st.tuples(st.sampled_from((0, 0, 7, 60, 400, 9000)), asks, st.sampled_from((1, 4, 12))), max_size=25
 )
@@ -24,12 +24,12 @@
 
 
 def policy_of(text: str) -> Policy:
-    policy, findings = read('policy "t"\n' + text)
+    policy, findings = read_policy('policy "t"\n' + text)
     assert not findings, findings
     return policy
 
 
-def moments(asked: Steps) -> Iterator[tuple[int, Asked]]:
+def moments(asked: Steps) -> Iterator[tuple[int, QuotaRequest]]:
     """Each request with its time."""
     now = 0
     for span, one, times in asked:
@@ -37,16 +37,16 @@
         yield from ((now, one) for _ in range(times))
 
 
-def compiled_of(policy: Policy) -> tuple[Compiled, LocalPurse]:
-    return Compiled(policy.limits, 1e9), LocalPurse(policy.limits)
+def compiled_of(policy: Policy) -> tuple[CompiledPolicy, LocalTokenStore]:
+    return CompiledPolicy(policy.limits, 1e9), LocalTokenStore(policy.limits)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(policies(), steps, st.sampled_from((0, parts.FEW)))
+@given(policies(), steps, st.sampled_from((0, limit_lookup.MAX_LINEAR_SEARCH)))
 def test_decides_as_the_naive_interpreter(policy: Policy, asked: Steps, few: int) -> None:
     compiled, purse = compiled_of(policy)
     reference = Reference(policy)
-    with patch.object(parts, "FEW", few):  # 0: all parts are found by tables
+    with patch.object(limit_lookup, "MAX_LINEAR_SEARCH", few):  # 0: all parts are found by tables
         for now, one in moments(asked):
             verdict = compiled.decide(one, now, purse)
             assert (verdict.allowed, bool(verdict.shadowed)) == reference.decide(one, now)
@@ -59,10 +59,10 @@
     admitted: dict[Charge, list[int]] = defaultdict(list)
     for now, one in moments(asked):
         if compiled.decide(one, now, purse).allowed:
-            for charge in compiled.bill(one)[0]:
+            for charge in compiled.charges_for(one)[0]:
                 admitted[charge].append(now)
         assert all(
-            len(table) <= limit.most_values for limit, table in zip(policy.limits, purse._tables, strict=True)
+            len(table) <= limit.max_values for limit, table in zip(policy.limits, purse._tables, strict=True)
         )
     for charge, times in admitted.items():
         limit = policy.limits[charge.limit]
@@ -92,7 +92,7 @@
     compiled, purse = compiled_of(policy_of("quota q { rate 1/s burst 5 by key most 2 }"))
 
     def come(key: str, times: int, now: float) -> int:
-        return sum(compiled.decide(Asked("look", key=key), now, purse).allowed for _ in range(times))
+        return sum(compiled.decide(QuotaRequest("look", key=key), now, purse).allowed for _ in range(times))
 
     assert [come(key, 3, 0.0) for key in "ab"] == [3, 3]
     assert [come(key, 9, 0.0) for key in "cd"] == [5, 0]  # both of one bucket
@@ -103,7 +103,7 @@
 
 def test_a_policy_that_holds_fewer_values_forgets_none_of_what_they_spent() -> None:
     both = [policy_of(f"quota q {{ rate 1/s burst 5 by key most {most} }}") for most in (3, 1)]
-    purse = LocalPurse(both[0].limits)
+    purse = LocalTokenStore(both[0].limits)
     for key in "abb":
         assert purse.take([Charge(0, key)], 0.0) is None
     purse.renew(both[1].limits, 0.0)
@@ -115,7 +115,7 @@
         policy_of("""quota f { rate 9/s quota s { match class look rate 2/s shadow } }
         quota g { rate 1/s burst 4 shadow }""")
     )
-    said = [compiled.decide(Asked("look"), 0.0, purse) for _ in range(10)]
+    said = [compiled.decide(QuotaRequest("look"), 0.0, purse) for _ in range(10)]
     assert [one.allowed for one in said] == [True] * 9 + [False]
     assert [one.shadowed for one in said] == [""] * 2 + ["f/s"] * 7 + [""]
 
@@ -131,8 +131,8 @@
     for flood in others:
         now += 20.0  # 50/s
         for _ in range(10 if flood else 0):
-            compiled.decide(Asked("scan"), now, purse)
-        assert compiled.decide(Asked("look"), now, purse).allowed
+            compiled.decide(QuotaRequest("scan"), now, purse)
+        assert compiled.decide(QuotaRequest("look"), now, purse).allowed
 
 
 def test_idle_parts_lend_and_worth_goes_first() -> None:
@@ -146,7 +146,7 @@
         admitted: dict[str, int] = defaultdict(int)
         for ms in range(20_000):
             for one in mix:
-                asked = Asked("scan", "acme") if one == "acme" else Asked(one)
+                asked = QuotaRequest("scan", "acme") if one == "acme" else QuotaRequest(one)
                 admitted[one] += compiled.decide(asked, float(ms), purse).allowed
         share[mix] = {one: round(number / 20) for one, number in admitted.items()}  # a second
     assert abs(share["scan",]["scan"] - 100) <= 2  # all that idle ones leave
@@ -163,7 +163,7 @@
 def test_what_is_refunded_was_never_taken(asked: list[tuple[int, str, bool]]) -> None:
     limits = policy_of("""quota f { rate 2/s burst 12 quota g { match class g guaranteed 1/s worth 2 }
         quota h { match class h guaranteed 0.5/s } quota x { match class x } }""").limits
-    one, other, now = LocalPurse(limits), LocalPurse(limits), 0.0
+    one, other, now = LocalTokenStore(limits), LocalTokenStore(limits), 0.0
     for span, part, refunded in asked:
         now += span
         charges = [Charge(0), Charge(1 + "ghx".index(part))]
@@ -180,22 +180,22 @@
         policy_of("quota f { rate 10/s burst 10 quota g { match class look guaranteed 5/s } }")
     )
     tight = compiled_of(policy_of("quota f { rate 10/s burst 3 }"))
-    said = [decide_all((wide, tight), Asked("look"), 0.0) for _ in range(8)]
+    said = [decide_all_versions((wide, tight), QuotaRequest("look"), 0.0) for _ in range(8)]
     assert [one.allowed for one in said] == [True] * 3 + [False] * 5
     # What the refused five would have taken of the wide one is still there; of its burst of 10 the last one
     # stays, as its reserve of 2.5 has half a token left.
-    assert sum(wide[0].decide(Asked("look"), 0.0, wide[1]).allowed for _ in range(20)) == 6
+    assert sum(wide[0].decide(QuotaRequest("look"), 0.0, wide[1]).allowed for _ in range(20)) == 6
 
 
 def test_other_figures_bring_no_token_of_their_own() -> None:
     text = "schedule s: from 12-01 to 12-24 quota f { rate 10/s burst 10 during s { rate 20/s burst 20 } }"
     policy = policy_of(text)
-    purse = LocalPurse(policy.limits)
+    purse = LocalTokenStore(policy.limits)
     assert sum(purse.take([Charge(0)], 0.0) is None for _ in range(20)) == 10
-    purse.renew(policy.at(frozenset("s")), 0.0)
+    purse.renew(policy.limits_during(frozenset("s")), 0.0)
     assert purse.take([Charge(0)], 0.0) is not None
     assert sum(purse.take([Charge(0)], 5000.0) is None for _ in range(40)) == 20
-    purse.renew(policy.at(frozenset()), 5000.0)
+    purse.renew(policy.limits_during(frozenset()), 5000.0)
     assert purse.take([Charge(0)], 5000.0) is not None
     assert sum(purse.take([Charge(0)], 9000.0) is None for _ in range(40)) == 10
 
@@ -203,8 +203,13 @@
 def test_a_refusal_says_when_only_as_the_settings_and_the_limit_have_it() -> None:
     text = "quota f { match class look rate 1/s } quota g { match class scan rate 1/s retry-after no }"
     for most, told in ((0.0, 0.0), (500.0, 500.0), (1e9, 1000.0)):
-        compiled, purse = Compiled(policy_of(text).limits, most), LocalPurse(policy_of(text).limits)
-        said = {one: [compiled.decide(Asked(one), 0.0, purse) for _ in "12"][1] for one in ("look", "scan")}
+        compiled, purse = (
+            CompiledPolicy(policy_of(text).limits, most),
+            LocalTokenStore(policy_of(text).limits),
+        )
+        said = {
+            one: [compiled.decide(QuotaRequest(one), 0.0, purse) for _ in "12"][1] for one in ("look", "scan")
+        }
         assert (said["look"].refused_by, said["look"].retry_after_ms) == ("f", told)
         assert (said["scan"].refused_by, said["scan"].retry_after_ms) == ("g", 0.0)
 
@@ -225,14 +230,14 @@
         ("", "::ffff:10.1.2.3", 0),
         ("m", "192.0.2.1", 5), ("m", "2001:db8::1%eth0", 4), ("m", "none", 5), ("x", "010.1.2.3", -1),
     ):  # fmt: skip
-        charges, _ = compiled.bill(Asked("look", key=key, address=address))
+        charges, _ = compiled.charges_for(QuotaRequest("look", key=key, address=address))
         assert [charge.limit for charge in charges[1:]] == ([index + 1] if index >= 0 else [])
 
 
 def test_names_from_outside_fill_no_memory() -> None:
     compiled, purse = compiled_of(policy_of("quota f { rate 9/s by tenant quota a { match tenant acme } }"))
-    for i in range(MOST_RECENT + 9):
-        compiled.decide(Asked("look", f"t{i}", address=f"10.0.0.{i}"), 0.0, purse)
-    assert len(compiled._recent) <= MOST_RECENT
+    for i in range(MAX_RECENT_PLANS + 9):
+        compiled.decide(QuotaRequest("look", f"t{i}", address=f"10.0.0.{i}"), 0.0, purse)
+    assert len(compiled._recent) <= MAX_RECENT_PLANS
     assert len(compiled._known) == 1
     assert len(purse) <= 1000
--- a/tests/test_quota_language.py
+++ b/tests/test_quota_language.py
@@ -12,16 +12,16 @@
 
 from lupinlink.commands.check import main
 from lupinlink.quota.errors import BadPolicyError, PolicyFileError
-from lupinlink.quota.language.printing import printed
-from lupinlink.quota.language.reading import read
-from lupinlink.quota.loading import load, load_file, look
-from lupinlink.quota.model import Asked, Expect, Policy, Schedule
-from lupinlink.quota.reach import Known
-from lupinlink.quota.schedules import easter, holding, holds, together
+from lupinlink.quota.language.printing import print_policy
+from lupinlink.quota.language.reading import read_policy
+from lupinlink.quota.loading import check_text, load_policy, load_policy_file
+from lupinlink.quota.model import ExpectedCase, Policy, QuotaRequest, Schedule
+from lupinlink.quota.reachability import KnownNames
+from lupinlink.quota.schedules import applies_on, easter, schedule_combinations, schedules_on
 from tests.proxy_process import SETTINGS
 from tests.quota_reference import CLASSES, TENANTS, ZONES, asks, policies
 
-KNOWN = Known(CLASSES, TENANTS, ZONES, 2000.0, True)
+KNOWN = KnownNames(CLASSES, TENANTS, ZONES, 2000.0, True)
 EXAMPLE = Path(__file__).resolve().parent.parent / "deploy" / "quota.policy"
 
 FEASTS = st.sampled_from(("easter", "christmas"))
@@ -33,8 +33,8 @@
     max_size=2,
     unique_by=lambda schedule: schedule.name,
 )
-expects = st.builds(
-    Expect,
+expected_cases = st.builds(
+    ExpectedCase,
     asks.filter(lambda one: one.address != "none"),
     st.just(3),
     st.sampled_from((0, 2)),
@@ -45,32 +45,32 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(policies(), schedules, st.lists(expects, max_size=2), st.text('ab"\\ #{é', min_size=1))
+@given(policies(), schedules, st.lists(expected_cases, max_size=2), st.text('ab"\\ #{é', min_size=1))
 def test_what_is_printed_reads_as_the_same(
-    policy: Policy, dates: list[Schedule], cases: list[Expect], version: str
+    policy: Policy, dates: list[Schedule], cases: list[ExpectedCase], version: str
 ) -> None:
     whole = Policy(version, policy.limits, tuple(dates), tuple(cases))
-    assert read(printed(whole)) == (whole, [])
-    assert printed(read(printed(whole))[0]) == printed(whole)
+    assert read_policy(print_policy(whole)) == (whole, [])
+    assert print_policy(read_policy(print_policy(whole))[0]) == print_policy(whole)
 
 
 def test_the_example_is_good_and_prints_back() -> None:
-    known = Known(("look", "order"), ("acme",), ZONES, 2000.0, True)
-    policy = load_file(str(EXAMPLE), known)
-    assert load(printed(policy), known, "printed") == policy
+    known = KnownNames(("look", "order"), ("acme",), ZONES, 2000.0, True)
+    policy = load_policy_file(str(EXAMPLE), known)
+    assert load_policy(print_policy(policy), known, "printed") == policy
 
 
 def test_seasons_units_and_what_is_left_out() -> None:
-    policy, findings = read("""policy "p" schedule s: 1 week before easter
+    policy, findings = read_policy("""policy "p" schedule s: 1 week before easter
         quota f { rate 600/min during s { rate 1200/min }
             quota g { guaranteed 60/min }
             quota h { rate 2/s by address /24 most 9 } }""")
     assert findings == []
-    usual, season = policy.at(frozenset()), policy.at(frozenset("s"))
-    assert [(one.rate_per_s, one.burst, one.guaranteed_per_s) for one in usual] == [
+    default_parameters, season = policy.limits_during(frozenset()), policy.limits_during(frozenset("s"))
+    assert [(one.rate_per_s, one.burst, one.guaranteed_per_s) for one in default_parameters] == [
         (10.0, 10.0, 0.0), (10.0, 10.0, 1.0), (2.0, 2.0, 0.0)]  # fmt: skip
     assert [(one.rate_per_s, one.burst) for one in season] == [(20.0, 20.0), (20.0, 20.0), (2.0, 2.0)]
-    assert (policy.limits[2].by_bits, policy.limits[2].by_bits6) == (24, 64)
+    assert (policy.limits[2].by_ipv4_bits, policy.limits[2].by_ipv6_bits) == (24, 64)
 
 
 FAULTS = {  # text after the first line: code, line, column, and a word of what is said
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("text", FAULTS)
 def test_each_fault_has_its_code_and_place(text: str) -> None:
     code, line, column, word = FAULTS[text]
-    policy, found = look('policy "p"\n' + text, KNOWN)
+    policy, found = check_text('policy "p"\n' + text, KNOWN)
     assert policy is None
     assert [(one.code, one.place.line, one.place.column) for one in found] == [(code, line, column)]
     assert word in found[0].finding("f.policy").splitlines()[0]
@@ -136,16 +136,16 @@
 
 
 def test_what_the_settings_do_not_have_is_found() -> None:
-    bare = Known(CLASSES, TENANTS, ZONES, 0.0, False)
+    bare = KnownNames(CLASSES, TENANTS, ZONES, 0.0, False)
     text = 'policy "p"\nquota f { rate 3/s quota a { match second-try } }\nquota s { rate 3/s shadow }'
     with pytest.raises(BadPolicyError) as caught:
-        load(text, bare, "f.policy")
+        load_policy(text, bare, "f.policy")
     assert [one.code for one in caught.value.findings] == ["LL308", "LL303"]
     assert str(caught.value).startswith("f.policy:2:1: LL308 ")
     assert str(caught.value).endswith("(and 1 more)")
-    assert look(text.replace("3/s quota a { match second-try }", "3/s retry-after no"), bare)[1] == []
+    assert check_text(text.replace("3/s quota a { match second-try }", "3/s retry-after no"), bare)[1] == []
     with pytest.raises(PolicyFileError):
-        load_file(str(EXAMPLE) + ".gone", KNOWN)
+        load_policy_file(str(EXAMPLE) + ".gone", KNOWN)
 
 
 def test_what_is_left_by_those_before_is_reached() -> None:
@@ -156,7 +156,7 @@
         "quota a { match tenant acme, bolt } quota b { }",
         "quota a { match second-try } quota b { match first-try match class look } quota c { }",
     ):
-        assert look(f'policy "p" quota f {{ rate 3/s {parts} }}', KNOWN)[1] == []
+        assert check_text(f'policy "p" quota f {{ rate 3/s {parts} }}', KNOWN)[1] == []
 
 
 def test_easter_and_the_weeks_before_feasts() -> None:
@@ -166,21 +166,21 @@
     fortnight, advent = Schedule("e", "easter", 14), Schedule("a", "christmas", 28)
     turn = Schedule("t", first=(12, 20), last=(1, 6))
     days = [datetime.date(2026, 1, 1) + datetime.timedelta(days=i) for i in range(365)]
-    held = {one.name: [day for day in days if holds(one, day)] for one in (fortnight, advent, turn)}
+    held = {one.name: [day for day in days if applies_on(one, day)] for one in (fortnight, advent, turn)}
     assert (held["e"][0], held["e"][-1]) == (datetime.date(2026, 3, 22), datetime.date(2026, 4, 4))
     assert (held["a"][0], held["a"][-1]) == (datetime.date(2026, 11, 27), datetime.date(2026, 12, 24))
     assert len(held["t"]) == 6 + 12
-    assert holds(Schedule("long", "easter", 200), datetime.date(2026, 12, 1))  # that of the year after
-    assert together((fortnight, advent, turn)) == {
+    assert applies_on(Schedule("long", "easter", 200), datetime.date(2026, 12, 1))  # that of the year after
+    assert schedule_combinations((fortnight, advent, turn)) == {
         frozenset(names) for names in ("", "e", "a", "t", "at")}  # fmt: skip
-    assert holding((fortnight, advent, turn), datetime.date(2026, 12, 24)) == frozenset("at")
+    assert schedules_on((fortnight, advent, turn), datetime.date(2026, 12, 24)) == frozenset("at")
 
 
 def test_asked_fields_of_an_expected_case() -> None:
     case = 'expect 2 of class look tenant acme key "a b" address ::1 second-try: admitted'
-    policy, findings = read(f'policy "p" {case}')
+    policy, findings = read_policy(f'policy "p" {case}')
     assert findings == []
-    assert policy.expects[0].asked == Asked("look", "acme", "", "a b", "::1", True)
+    assert policy.expected_cases[0].asked == QuotaRequest("look", "acme", "", "a b", "::1", True)
 
 
 def test_check_says_what_is_wrong_with_a_policy(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_quota_states.py
+++ b/tests/test_quota_states.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from lupinlink.quota.compiled import Compiled
-from lupinlink.quota.model import Asked, Charge, Limit, Policy
-from lupinlink.quota.purse import LocalPurse
+from lupinlink.quota.compiled_policy import CompiledPolicy
+from lupinlink.quota.local_token_store import LocalTokenStore
+from lupinlink.quota.model import Charge, Limit, Policy, QuotaRequest
 from tests.quota_reference import asks, policies
 
 SOON = 1e-6
@@ -24,7 +24,11 @@
     @initialize(policy=policies())
     def begin(self, policy: Policy) -> None:
         self.limits: Sequence[Limit] = policy.limits
-        self.compiled, self.purse, self.now = Compiled(policy.limits, 1e9), LocalPurse(policy.limits), 0.0
+        self.compiled, self.purse, self.now = (
+            CompiledPolicy(policy.limits, 1e9),
+            LocalTokenStore(policy.limits),
+            0.0,
+        )
         self.most = {i: (limit.rate_per_s, limit.burst) for i, limit in enumerate(policy.limits)}
         self.came: dict[Charge, list[float]] = defaultdict(list)
 
@@ -33,8 +37,8 @@
         self.now += ms
 
     @rule(asked=asks, times=st.sampled_from((1, 5, 15)), refunded=st.booleans())
-    def ask(self, asked: Asked, times: int, refunded: bool) -> None:
-        charges, _ = self.compiled.bill(asked)
+    def ask(self, asked: QuotaRequest, times: int, refunded: bool) -> None:
+        charges, _ = self.compiled.charges_for(asked)
         for _ in range(times):
             if self.purse.take(charges, self.now) is not None:
                 return
@@ -57,7 +61,7 @@
                 rate_per_s=limit.rate_per_s * factor,
                 burst=max(6.0, limit.burst * factor),
                 guaranteed_per_s=limit.guaranteed_per_s * factor,
-                most_values=values,
+                max_values=values,
             )
             for limit in self.limits
         ]
@@ -69,7 +73,7 @@
     @invariant()
     def bounded(self) -> None:
         if hasattr(self, "limits"):
-            assert len(self.purse) <= sum(limit.most_values for limit in self.limits)
+            assert len(self.purse) <= sum(limit.max_values for limit in self.limits)
 
 
 AnyOrder.TestCase.settings = settings(
