--- a/lupinlink/quota/__init__.py
+++ b/lupinlink/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of what is let in, held by all gateways together: a language, its checks, a compiled decision."""
+"""Rate limits shared by all gateways: the policy language, its checks and the compiled decision."""
--- a/lupinlink/quota/decision_counts.py
+++ b/lupinlink/quota/decision_counts.py
@@ -1,4 +1,4 @@
-"""How often each limit refused, or would have in shadow mode: what to look at before and after a change."""
+"""Counts the refusals of each limit, and those it would have made in shadow mode."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class DecisionCounts:
-    """Counts of one process since it began; no more rows than the policies it had have limits."""
+    """Counts since the process started; bounded by the number of limits in its policies."""
 
     def __init__(self) -> None:
         self.allowed = 0
-        self.refused: Counter[str] = Counter()  # by path of the limit
-        self.shadowed: Counter[str] = Counter()  # let in, though this limit in shadow mode would not have
+        self.refused: Counter[str] = Counter()  # by the path of the limit
+        self.shadowed: Counter[str] = Counter()  # admitted, but refused by this limit if it were enforced
 
     def add(self, verdict: Verdict) -> None:
         """Count one decision."""
@@ -25,7 +25,7 @@
             self.refused[verdict.refused_by] += 1
 
     def table(self) -> str:
-        """Lines for the operators' door, the limit that refuses most first."""
+        """Text for the admin endpoint, most refusals first."""
         refused, shadowed = self.refused.total(), self.shadowed.total()
         lines = [f"quota: let in {self.allowed}, refused {refused}, would have refused {shadowed}"]
         paths = sorted(self.refused | self.shadowed, key=lambda p: (-self.refused[p], -self.shadowed[p], p))
--- a/lupinlink/quota/errors.py
+++ b/lupinlink/quota/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a policy of quotas; each finding knows its place. LL320 and on: sharing."""
+"""Errors in quota policies, each with its position in the file. LL320 and up belong to quota.sharing."""
 
 from __future__ import annotations
 
@@ -9,116 +9,116 @@
 
 
 class PolicyError(LupinError):
-    """Base of this package's errors; a finding in a policy's text."""
+    """Base of this package's errors: a finding in the text of a policy."""
 
     code = "LL300"
-    about = "a policy of quotas is not usable"
-    remedy = "see docs/operators/quota-language.md; the policy in force before stays in force"
+    about = "a quota policy is not usable"
+    remedy = "see docs/operators/quota-language.md; the previous policy stays in force"
 
     def __init__(self, what: str, place: Place = NOWHERE) -> None:
-        """``what``: one plain line, without the place."""
+        """``what``: one line, without the position."""
         super().__init__(what)
         self.place = place
 
     def finding(self, file: str) -> str:
-        """One line in the form that editors and CI read: file, line, column, code, what, what to do."""
+        """One line in the format that editors and CI parse: file, line, column, code, finding, remedy."""
         return f"{file}:{self.place.line}:{self.place.column}: {self.line()}"
 
 
 class PolicySyntaxError(PolicyError):
-    """The text is not in the language; nothing after this place was looked at."""
+    """The text violates the grammar; nothing after this position was read."""
 
     code = "LL301"
-    about = "the text of a policy is not in the language"
-    remedy = "write there what the line says may stand there"
+    about = "a policy has a syntax error"
+    remedy = "write one of the tokens that the message lists as expected there"
 
 
 class UnknownNameError(PolicyError):
-    """Spelled wrongly, or the settings are of another deployment."""
+    """A name is misspelled, or the settings belong to another deployment."""
 
     code = "LL302"
-    about = "a policy names a class, tenant, zone, schedule or quota that there is not"
+    about = "a policy names a class, tenant, zone, schedule or quota that does not exist"
     remedy = "correct the name, or add it to the settings first"
 
 
 class NeverReachedError(PolicyError):
-    """No request can come to this quota."""
+    """No request can match this quota."""
 
     code = "LL303"
-    about = "no request ever reaches a quota"
-    remedy = "move it before the one that takes its requests, narrow that one, or take it out"
+    about = "a quota never matches a request"
+    remedy = "move it before the quota that matches its requests, narrow that quota, or remove it"
 
 
 class OverParentError(PolicyError):
-    """It would never be what limits."""
+    """The parent would always be the tighter limit."""
 
     code = "LL304"
-    about = "a quota is larger than the one round it"
-    remedy = "lower it, or raise the one round it, for the same schedule too"
+    about = "a quota is larger than its parent"
+    remedy = "lower it or raise its parent, also during the schedule that the message names"
 
 
 class UnboundedError(PolicyError):
-    """Whoever sends requests could fill the memory."""
+    """Clients could exhaust the memory by sending ever new values."""
 
     code = "LL305"
-    about = "a quota counts by a field without a bound on its values"
-    remedy = "add 'most N' after the field, as many values as are active at a time; see the page for memory"
+    about = "a quota counts by a field without a limit on the number of its values"
+    remedy = "add 'most N' after the field, N being the values active at a time; see the page for memory"
 
 
 class UnitsError(PolicyError):
-    """A figure may be another by a factor of 60 or 3600 than was meant."""
+    """A rate may be off by a factor of 60 or 3600."""
 
     code = "LL306"
-    about = "the units of a quota's figures are mixed up"
+    about = "the units of a quota do not match"
     remedy = "give rates of one quota in one unit (/s, /min or /h) and a burst as a plain number"
 
 
 class GuaranteedError(PolicyError):
-    """Not all the promises could be kept at once."""
+    """The guarantees could not all be met at the same time."""
 
     code = "LL307"
-    about = "more is guaranteed than the quota round it has"
-    remedy = "lower the guaranteed parts, or raise the rate or burst of the quota round them"
+    about = "the children of a quota are guaranteed more than it has"
+    remedy = "lower the guaranteed rates, or raise the rate or burst of the parent"
 
 
 class RetryAfterError(PolicyError):
-    """Clients that are told no time come back at once, or wait without need."""
+    """Without Retry-After, clients retry at once or wait longer than needed."""
 
     code = "LL308"
-    about = "refusals by a quota do not go with what the settings say of Retry-After"
-    remedy = "allow Retry-After in the settings, or say 'retry-after no' where they do not allow it"
+    about = "a quota and the settings disagree on Retry-After"
+    remedy = "allow Retry-After in the settings, or set 'retry-after no' in the quota"
 
 
 class StatementError(PolicyError):
-    """A statement is missing, stands twice, or its figure is out of range."""
+    """A statement is missing, repeated, contradicts another, or its value is out of range."""
 
     code = "LL309"
-    about = "a statement of a policy is missing, stands twice, or is out of range"
-    remedy = "correct it as the line says"
+    about = "a statement of a policy is missing, repeated or out of range"
+    remedy = "correct the statement as the message says"
 
 
 class ExpectError(PolicyError):
-    """The policy does not do what its author expects."""
+    """The policy does not give the outcome that an expected case states."""
 
     code = "LL310"
-    about = "an expected case of a policy came out otherwise"
-    remedy = "correct the quota, or the case if the new outcome is what is meant"
+    about = "an expected case of a policy has another outcome"
+    remedy = "correct the quota, or the case if the new outcome is intended"
 
 
 class PolicyFileError(PolicyError):
-    """The file is missing, unreadable, too large or no UTF-8."""
+    """The file is missing, unreadable, too large or not UTF-8."""
 
     code = "LL311"
-    about = "the file of a policy cannot be read"
-    remedy = "look at the path in the fleet file, the rights, and that it is UTF-8 under 512 KiB"
+    about = "a policy file cannot be read"
+    remedy = "check the path in the fleet file, the permissions, and that it is UTF-8 under 512 KiB"
 
 
 class BadPolicyError(PolicyError):
-    """Raised by loading: at least one finding, all of them in ``findings`` in the order of the text."""
+    """Raised on loading; ``findings`` has at least one finding, in the order of the text."""
 
     code = "LL312"
-    about = "a policy was not taken because of what was found in it"
-    remedy = "run 'lupinlink check --policy=FILE' for all findings; the policy in force before stays in force"
+    about = "a policy was rejected because of the findings in it"
+    remedy = "run 'lupinlink check --policy=FILE' for all findings; the previous policy stays in force"
 
     def __init__(self, file: str, findings: Sequence[PolicyError]) -> None:
         more = f" (and {len(findings) - 1} more)" if len(findings) > 1 else ""
--- a/lupinlink/quota/language/__init__.py
+++ b/lupinlink/quota/language/__init__.py
@@ -1,1 +1,1 @@
-"""The language of quotas: its grammar (lark), from text to a policy with findings, and back to text."""
+"""The policy language: its grammar (lark), the reader that reports findings, and the printer."""
--- a/lupinlink/quota/language/printing.py
+++ b/lupinlink/quota/language/printing.py
@@ -1,4 +1,4 @@
-"""From a policy back to text: one form for one policy, with every figure stated and in requests a second."""
+"""Prints a policy in canonical form: every rate is written out, in requests per second."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def print_policy(policy: Policy) -> str:
-    """Text that reads as the same policy (``reading.read``), whatever form it was written in."""
+    """Text that ``read_policy`` parses into the same policy; equal policies give equal text."""
     inside: dict[str, list[Limit]] = {}
     for limit in policy.limits:
         inside.setdefault(limit.parent, []).append(limit)
@@ -78,21 +78,22 @@
     return [*lines, f"{indent}}}"]
 
 
-def _about(asked: QuotaRequest) -> str:
+def _about(request: QuotaRequest) -> str:
     said = [
         f"{kind} {_word(value)}"
         for kind, value in (
-            ("class", asked.class_name), ("tenant", asked.tenant), ("zone", asked.zone), ("key", asked.key),
+            ("class", request.class_name), ("tenant", request.tenant),
+            ("zone", request.zone), ("key", request.key),
         )
         if value
     ]  # fmt: skip
-    said += [f"address {asked.address}"] if asked.address else []
-    said += ["second-try"] if asked.second_try else []
+    said += [f"address {request.address}"] if request.address else []
+    said += ["second-try"] if request.second_try else []
     return " ".join(said)
 
 
 def _expect(expect: ExpectedCase) -> str:
-    text = f"expect {expect.count} of {_about(expect.asked)}"
+    text = f"expect {expect.count} of {_about(expect.request)}"
     text += f" on {expect.on.isoformat()}" if expect.on else ""
     if expect.refused_by:
         text += f": admitted {expect.admitted} refused by {expect.refused_by}"
--- a/lupinlink/quota/language/reading.py
+++ b/lupinlink/quota/language/reading.py
@@ -26,25 +26,25 @@
     """The policy, and what is wrong with it; good for use only without findings. Raises SyntaxFaultError."""
     tree = parse(text)
     findings: list[PolicyError] = []
-    of: dict[str, list[Node]] = {}
+    candidate_version: dict[str, list[Node]] = {}
     for child in tree.children:
         if not isinstance(child, Token):
-            of.setdefault(str(child.data), []).append(child)
-    (head,) = of["head"]
+            candidate_version.setdefault(str(child.data), []).append(child)
+    (head,) = candidate_version["head"]
     version = word(_token(head, 0))
     if not version:
         findings.append(StatementError("a policy needs a version that tells it from others", place_of(head)))
     schedules: dict[str, Schedule] = {}
-    for node in of.get("schedule", []):
+    for node in candidate_version.get("schedule", []):
         schedule = _schedule(node, findings)
         if schedule.name in schedules or len(schedules) >= MAX_SCHEDULES:
             text = f"schedule {schedule.name} stands here a second time, or over {MAX_SCHEDULES} stand here"
             findings.append(StatementError(text, place_of(node)))
         schedules[schedule.name] = schedule
     reading = Reading(frozenset(schedules), findings=findings)
-    for node in of.get("quota", []):
+    for node in candidate_version.get("quota", []):
         read_quota(node, None, Counted(), 1, reading)
-    expected_cases = tuple(_expect(node, findings) for node in of.get("expect", []))
+    expected_cases = tuple(_expect(node, findings) for node in candidate_version.get("expect", []))
     return Policy(
         version, tuple(reading.limits.values()), tuple(schedules.values()), expected_cases
     ), findings
@@ -80,38 +80,38 @@
 
 
 def _expect(node: Node, findings: list[PolicyError]) -> ExpectedCase:
-    of: dict[str, list[Node]] = {}
+    candidate_version: dict[str, list[Node]] = {}
     for child in node.children:
         assert not isinstance(child, Token)
-        of.setdefault(str(child.data), []).append(child)
+        candidate_version.setdefault(str(child.data), []).append(child)
     count = 1
-    if "count" in of:
-        count = whole(_token(of["count"][0], 0), 1, MAX_COUNT, "the count of a case", findings)
-    refused_by = str(of["refusal"][0].children[0]) if "refusal" in of else ""
+    if "count" in candidate_version:
+        count = whole(_token(candidate_version["count"][0], 0), 1, MAX_COUNT, "the count of a case", findings)
+    refused_by = str(candidate_version["refusal"][0].children[0]) if "refusal" in candidate_version else ""
     admitted = 0
-    if "admitted" in of:
-        (said,) = of["admitted"]
+    if "admitted" in candidate_version:
+        (said,) = candidate_version["admitted"]
         admitted = count
         if said.children:
             admitted = whole(_token(said, 0), 0, count, "how many are admitted", findings)
         if refused_by and admitted == count:
             findings.append(StatementError("all are admitted and some are refused", place_of(said)))
     limits: tuple[str, ...] | None = None
-    if "charged" in of:
-        tokens = of["charged"][0].children
+    if "charged" in candidate_version:
+        tokens = candidate_version["charged"][0].children
         limits = tuple(str(t) for t in tokens if isinstance(t, Token) and t.type == "PATH")
     return ExpectedCase(
-        _asked(of["about"], findings),
+        _request(candidate_version["about"], findings),
         count,
         admitted,
         refused_by,
         limits,
-        _date(of, findings),
+        _date(candidate_version, findings),
         place_of(node),
     )
 
 
-def _asked(nodes: list[Node], findings: list[PolicyError]) -> QuotaRequest:
+def _request(nodes: list[Node], findings: list[PolicyError]) -> QuotaRequest:
     values: dict[str, str] = {}
     second_try = False
     for node in nodes:
@@ -133,10 +133,10 @@
     )
 
 
-def _date(of: dict[str, list[Node]], findings: list[PolicyError]) -> datetime.date | None:
-    if "on" not in of:
+def _date(candidate_version: dict[str, list[Node]], findings: list[PolicyError]) -> datetime.date | None:
+    if "on" not in candidate_version:
         return None
-    token = _token(of["on"][0], 0)
+    token = _token(candidate_version["on"][0], 0)
     try:
         return datetime.date.fromisoformat(str(token))
     except ValueError:
--- a/lupinlink/quota/loading.py
+++ b/lupinlink/quota/loading.py
@@ -1,4 +1,4 @@
-"""A policy's text or file, taken whole or not at all."""
+"""Loads a policy from text or a file; a policy with any finding is rejected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check_text(text: str, known: KnownNames) -> tuple[Policy | None, list[PolicyError]]:
-    """The policy, None if it is not to be used, and all that was found, in the order of the text."""
+    """The policy, or None if there are findings, and all findings in the order of the text."""
     if len(text.encode()) > MOST_VALUE:
         return None, [PolicyFileError(f"a policy has at most {MOST_VALUE} bytes", NOWHERE)]
     try:
@@ -29,7 +29,7 @@
 
 
 def load_policy(text: str, known: KnownNames, file: str) -> Policy:
-    """The policy of a text; ``file`` names it in errors. Raises BadPolicyError with every finding."""
+    """Parse and check a text; ``file`` is named in errors. Raises BadPolicyError with all findings."""
     policy, findings = check_text(text, known)
     if policy is None:
         raise BadPolicyError(file, findings)
@@ -37,7 +37,7 @@
 
 
 def read_policy_file(file: str) -> str:
-    """A policy's file. Raises PolicyFileError."""
+    """The text of a policy file. Raises PolicyFileError."""
     try:
         return Path(file).read_text(encoding="utf-8")
     except (OSError, ValueError) as exc:
@@ -45,5 +45,5 @@
 
 
 def load_policy_file(file: str, known: KnownNames) -> Policy:
-    """The policy of a file. Raises PolicyFileError, BadPolicyError."""
+    """Read, parse and check a file. Raises PolicyFileError, BadPolicyError."""
     return load_policy(read_policy_file(file), known, file)
--- a/lupinlink/quota/reachability.py
+++ b/lupinlink/quota/reachability.py
@@ -1,8 +1,8 @@
-"""Which requests can come to a quota, and whether those before it leave it any. Pure.
+"""Finds quotas that no request can reach because earlier ones match them all. Performs no I/O.
 
-Requests are taken apart by the names that the quotas tell from one another; of each such kind it is asked
-whether one earlier quota takes all of it. Prefixes and ranges are not put together: that two halves of a
-range cover the whole is not seen, and nothing reachable is ever called unreachable.
+Requests are divided into combinations of the names that the quotas mention. For each combination it is
+checked whether a single earlier quota covers it. Key prefixes and address ranges are not merged, so two halves
+of a range are not recognized as covering it; a reachable quota is never reported as unreachable.
 """
 
 from __future__ import annotations
@@ -14,15 +14,13 @@
 from lupinlink.quota.model import Match, Network
 from lupinlink.settings import Settings
 
-MAX_COMBINATIONS = (
-    20_000  # taken apart; beyond it only one earlier quota that takes all of a later one is seen
-)
-ANYTHING = "\x00"  # a name that no quota mentions
+MAX_COMBINATIONS = 20_000  # with more, only a single quota that covers the whole region is found
+ANYTHING = "\x00"  # stands for any name that no quota mentions
 
 
 @dataclass(frozen=True, slots=True)
 class KnownNames:
-    """What the settings say that a policy may name."""
+    """What the settings define for policies to refer to."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -32,7 +30,7 @@
 
     @classmethod
     def of(cls, settings: Settings) -> KnownNames:
-        """Those of a process's settings."""
+        """Those defined in the given settings."""
         return cls(
             tuple(one.name for one in settings.classes),
             tuple(one.name for one in settings.tenants if one.name),
@@ -44,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Region:
-    """The requests that a quota and all those round it match; None in a field: all of them."""
+    """The requests that a quota and its ancestors match; None in a field matches everything."""
 
     names: tuple[frozenset[str] | None, frozenset[str] | None, frozenset[str] | None] = (None, None, None)
     second_try: bool | None = None
@@ -52,10 +50,13 @@
     networks: tuple[Network, ...] | None = None
 
 
-def narrowed(region: Region, match: Match) -> Region | None:
-    """The part of a region that matches; None: there is none."""
+def narrow(region: Region, match: Match) -> Region | None:
+    """The part of a region that matches, or None if it is empty."""
     said = (match.classes, match.tenants, match.zones)
-    names = [_both(had, frozenset(new) if new else None) for had, new in zip(region.names, said, strict=True)]
+    names = [
+        _intersection(had, frozenset(new) if new else None)
+        for had, new in zip(region.names, said, strict=True)
+    ]
     second_try = region.second_try if match.second_try is None else match.second_try
     if any(one is not None and not one for one in names) or region.second_try not in (None, second_try):
         return None
@@ -66,13 +67,13 @@
         prefixes = tuple({max(a, b, key=len): 0 for a, b in pairs if a.startswith(b) or b.startswith(a)})
     if match.networks:
         ranges = [(a, b) for a in networks or match.networks for b in match.networks]
-        networks = tuple({small: 0 for a, b in ranges if (small := _smaller(a, b)) is not None})
+        networks = tuple({small: 0 for a, b in ranges if (small := _overlap(a, b)) is not None})
     if prefixes == () or networks == ():
         return None
     return Region((names[0], names[1], names[2]), second_try, prefixes, networks)
 
 
-def _both(a: frozenset[str] | None, b: frozenset[str] | None) -> frozenset[str] | None:
+def _intersection(a: frozenset[str] | None, b: frozenset[str] | None) -> frozenset[str] | None:
     return b if a is None else a if b is None else a & b
 
 
@@ -81,19 +82,19 @@
     return a.version == b.version and a.prefixlen >= b.prefixlen and a.network_address in b
 
 
-def _smaller(a: Network, b: Network) -> Network | None:
+def _overlap(a: Network, b: Network) -> Network | None:
     return a if within(a, b) else b if within(b, a) else None
 
 
-def taken(region: Region, earlier: Sequence[Region], known: KnownNames) -> bool:
-    """Whether every request of a region is one of an earlier region."""
-    if any(_covers(one, region) for one in earlier):
+def covered_by(region: Region, earlier: Sequence[Region], known: KnownNames) -> bool:
+    """Whether earlier regions cover every request of a region."""
+    if any(_contains(one, region) for one in earlier):
         return True
-    complete = (known.classes, (), known.zones)  # a tenant need not be one of those known
+    complete = (known.classes, (), known.zones)  # requests may have tenants outside the settings
     fields: list[Sequence[str | None]] = []
     for i, names in enumerate(region.names):
-        told = [one.names[i] for one in earlier if one.names[i] is not None]
-        mentioned = {name for some in told if some is not None for name in some}
+        mentioned_names = [one.names[i] for one in earlier if one.names[i] is not None]
+        mentioned = {name for some in mentioned_names if some is not None for name in some}
         if names is not None:
             fields.append(sorted(names))
         elif mentioned:
@@ -105,18 +106,18 @@
     networks: list[tuple[Network, ...] | None] = [(one,) for one in region.networks or ()] or [None]
     kinds = product(product(*fields), tries, prefixes, networks)
     for number, ((cls, tenant, zone), second, prefix, network) in enumerate(kinds):
-        kind = Region((_one(cls), _one(tenant), _one(zone)), second, prefix, network)
-        if number >= MAX_COMBINATIONS or not any(_covers(one, kind) for one in earlier):
+        kind = Region((_single(cls), _single(tenant), _single(zone)), second, prefix, network)
+        if number >= MAX_COMBINATIONS or not any(_contains(one, kind) for one in earlier):
             return False
     return True
 
 
-def _one(name: str | None) -> frozenset[str] | None:
+def _single(name: str | None) -> frozenset[str] | None:
     return None if name is None else frozenset((name,))
 
 
-def _covers(wide: Region, region: Region) -> bool:
-    """Whether all of a region is in another."""
+def _contains(wide: Region, region: Region) -> bool:
+    """Whether ``wide`` contains all of ``region``."""
     for had, new in zip(wide.names, region.names, strict=True):
         if had is not None and (new is None or not new <= had):
             return False
--- a/lupinlink/quota/request_values.py
+++ b/lupinlink/quota/request_values.py
@@ -1,4 +1,4 @@
-"""What a request's fields are to a policy: numbers of addresses, and the values that a limit counts by."""
+"""Extracts from requests the parsed addresses and the values that limits count by."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 from lupinlink.quota.model import Limit, Network, QuotaRequest
 
-REMEMBERED = 8192  # addresses whose parsing is remembered
+CACHE_SIZE = 8192  # addresses
 
 
-@lru_cache(REMEMBERED)
-def parsed(address: str) -> tuple[int, int]:
-    """IP version and number of an address; version 0: it is none. One of IPv4 within IPv6 counts as IPv4.
+@lru_cache(CACHE_SIZE)
+def parse_address(address: str) -> tuple[int, int]:
+    """IP version and number of an address; version 0 if it is invalid. IPv4-mapped IPv6 counts as IPv4.
 
-    The C library's parser takes a tenth of the time of ``ipaddress``, and addresses come from clients.
+    The C library's parser takes a tenth of the time of ``ipaddress``, which matters because clients choose
+    the addresses.
     """
     try:
         if ":" not in address:
@@ -28,10 +29,10 @@
         return 0, 0
 
 
-@lru_cache(REMEMBERED)
+@lru_cache(CACHE_SIZE)
 def network_of(address: str, bits: int, bits6: int) -> str:
-    """The network of so many bits (of IPv4, of IPv6) that an address is in, as text; empty if it is none."""
-    version, number = parsed(address)
+    """The network with the given prefix length (IPv4, IPv6) as text; empty for an invalid address."""
+    version, number = parse_address(address)
     if version == 4:
         number = number >> (32 - bits) << (32 - bits)
         return f"{number >> 24}.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}/{bits}"
@@ -41,7 +42,7 @@
 
 
 class AddressRanges:
-    """Whether an address is in one of many ranges: one look a length of range, whatever their number."""
+    """A set of networks. Membership takes one lookup per prefix length, however many networks there are."""
 
     def __init__(self, networks: Iterable[Network]) -> None:
         tables: dict[tuple[int, int], set[int]] = {}
@@ -52,21 +53,21 @@
         self._tables = [(version, shift, frozenset(found)) for (version, shift), found in tables.items()]
 
     def __contains__(self, address: str) -> bool:
-        version, number = parsed(address)
-        for of, shift, found in self._tables:  # noqa: SIM110 - a generator costs as much again
-            if of == version and number >> shift in found:
+        version, number = parse_address(address)
+        for family, shift, found in self._tables:  # noqa: SIM110 - a generator doubles the time
+            if family == version and number >> shift in found:
                 return True
         return False
 
 
-def value_of(limit: Limit) -> Callable[[QuotaRequest], str] | None:
-    """What finds a request's own value for a limit; None: it does not count by a field."""
+def value_getter(limit: Limit) -> Callable[[QuotaRequest], str] | None:
+    """A function that returns a request's value for the limit; None if it counts by no field."""
     bits, bits6 = limit.by_ipv4_bits, limit.by_ipv6_bits
     found: dict[str, Callable[[QuotaRequest], str]] = {
         "class": attrgetter("class_name"),
         "tenant": attrgetter("tenant"),
         "zone": attrgetter("zone"),
         "key": attrgetter("key"),
-        "address": lambda asked: network_of(asked.address, bits, bits6),
+        "address": lambda request: network_of(request.address, bits, bits6),
     }
     return found.get(limit.by)
--- a/lupinlink/quota/schedules.py
+++ b/lupinlink/quota/schedules.py
@@ -1,8 +1,7 @@
-"""Which schedules hold on a day. Pure: the date is handed in, and decides only which stated figures are used.
+"""Which schedules apply on a date. Performs no I/O; the caller passes the date.
 
-Easter is that of the Gregorian calendar by the algorithm that an unnamed correspondent gave in Nature 13 (20
-April 1876), p. 487, as Meeus prints it ("Astronomical Algorithms", 2nd edition, 1998, chapter 8); good for
-every year from 1583.
+Easter is computed for the Gregorian calendar with the anonymous algorithm from Nature 13 (20 April 1876),
+p. 487, as given by Meeus ("Astronomical Algorithms", 2nd edition, 1998, chapter 8); valid from 1583 on.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 @lru_cache(1024)
 def easter(year: int) -> datetime.date:
-    """Easter Sunday of a year."""
+    """The date of Easter Sunday."""
     a = year % 19
     b, c = divmod(year, 100)
     d, e = divmod(b, 4)
@@ -35,29 +34,29 @@
 
 
 def applies_on(schedule: Schedule, day: datetime.date) -> bool:
-    """Whether a schedule holds on that day. Before a feast: the ``days`` days up to its eve."""
+    """Whether a schedule applies on a day. The ``days`` before a feast end the day before it."""
     if not schedule.feast:
         first, last, now = schedule.first, schedule.last, (day.month, day.day)
         return first <= now <= last if first <= last else now >= first or now <= last
-    # The feast of next year too: its weeks may begin before the turn of the year.
+    # Next year's feast too: the days before it may start in this year.
     return any(0 < (_feast(schedule.feast, day.year + i) - day).days <= schedule.days for i in (0, 1))
 
 
 def schedules_on(schedules: Iterable[Schedule], day: datetime.date) -> frozenset[str]:
-    """The names of all schedules that hold on that day, for ``Policy.at``."""
+    """The names of the schedules that apply on a day, as ``Policy.limits_during`` takes them."""
     return frozenset(schedule.name for schedule in schedules if applies_on(schedule, day))
 
 
 @cache
-def _by_date() -> tuple[int, ...]:
-    """For each date that Easter can have, one year in which it has it."""
+def _years_by_easter_date() -> tuple[int, ...]:
+    """One year for each possible date of Easter."""
     dates = {(easter(year).month, easter(year).day): year for year in range(2400, 1999, -1)}
     return tuple(dates.values())
 
 
 def schedule_combinations(schedules: Sequence[Schedule]) -> set[frozenset[str]]:
-    """Every set of schedules that can hold on one day, in years with every date of Easter."""
-    years = _by_date() if any(one.feast == "easter" for one in schedules) else (2000,)
+    """Every set of schedules that can apply on the same day, for every possible date of Easter."""
+    years = _years_by_easter_date() if any(one.feast == "easter" for one in schedules) else (2000,)
     found: set[frozenset[str]] = {frozenset()}
     for year in years:
         day = datetime.date(year, 1, 1)
--- a/tests/test_quota_decision.py
+++ b/tests/test_quota_decision.py
@@ -44,25 +44,25 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(policies(), steps, st.sampled_from((0, limit_lookup.MAX_LINEAR_SEARCH)))
 def test_decides_as_the_naive_interpreter(policy: Policy, asked: Steps, few: int) -> None:
-    compiled, purse = compiled_of(policy)
+    compiled, store = compiled_of(policy)
     reference = Reference(policy)
     with patch.object(limit_lookup, "MAX_LINEAR_SEARCH", few):  # 0: all parts are found by tables
         for now, one in moments(asked):
-            verdict = compiled.decide(one, now, purse)
+            verdict = compiled.decide(one, now, store)
             assert (verdict.allowed, bool(verdict.shadowed)) == reference.decide(one, now)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(policies(), steps)
 def test_no_window_holds_more_than_its_rate_and_burst(policy: Policy, asked: Steps) -> None:
-    compiled, purse = compiled_of(policy)
+    compiled, store = compiled_of(policy)
     admitted: dict[Charge, list[int]] = defaultdict(list)
     for now, one in moments(asked):
-        if compiled.decide(one, now, purse).allowed:
+        if compiled.decide(one, now, store).allowed:
             for charge in compiled.charges_for(one)[0]:
                 admitted[charge].append(now)
         assert all(
-            len(table) <= limit.max_values for limit, table in zip(policy.limits, purse._tables, strict=True)
+            len(table) <= limit.max_values for limit, table in zip(policy.limits, store._tables, strict=True)
         )
     for charge, times in admitted.items():
         limit = policy.limits[charge.limit]
@@ -74,25 +74,25 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(policies(), steps)
 def test_a_refusal_charges_nothing_and_says_when_to_come_back(policy: Policy, asked: Steps) -> None:
-    compiled, purse = compiled_of(policy)
+    compiled, store = compiled_of(policy)
     waited = 0.0
     for at, one in moments(asked):
         now = at + waited
-        before = {id(b): b.tokens for table in purse._tables for b in table.values() if b.at == now}
-        verdict = compiled.decide(one, now, purse)
+        before = {id(b): b.tokens for table in store._tables for b in table.values() if b.updated_ms == now}
+        verdict = compiled.decide(one, now, store)
         if not verdict.allowed:
             assert verdict.retry_after_ms > 0.0
-            after = {id(b): b.tokens for table in purse._tables for b in table.values()}
+            after = {id(b): b.tokens for table in store._tables for b in table.values()}
             assert all(after.get(key, tokens) == tokens for key, tokens in before.items())
             waited += verdict.retry_after_ms + SOON
-            assert compiled.decide(one, at + waited, purse).allowed
+            assert compiled.decide(one, at + waited, store).allowed
 
 
 def test_a_value_that_was_forgotten_does_not_begin_anew() -> None:
-    compiled, purse = compiled_of(policy_of("quota q { rate 1/s burst 5 by key most 2 }"))
+    compiled, store = compiled_of(policy_of("quota q { rate 1/s burst 5 by key most 2 }"))
 
     def come(key: str, times: int, now: float) -> int:
-        return sum(compiled.decide(QuotaRequest("look", key=key), now, purse).allowed for _ in range(times))
+        return sum(compiled.decide(QuotaRequest("look", key=key), now, store).allowed for _ in range(times))
 
     assert [come(key, 3, 0.0) for key in "ab"] == [3, 3]
     assert [come(key, 9, 0.0) for key in "cd"] == [5, 0]  # both of one bucket
@@ -103,19 +103,19 @@
 
 def test_a_policy_that_holds_fewer_values_forgets_none_of_what_they_spent() -> None:
     both = [policy_of(f"quota q {{ rate 1/s burst 5 by key most {most} }}") for most in (3, 1)]
-    purse = LocalTokenStore(both[0].limits)
+    store = LocalTokenStore(both[0].limits)
     for key in "abb":
-        assert purse.take([Charge(0, key)], 0.0) is None
-    purse.renew(both[1].limits, 0.0)
-    assert [sum(purse.take([Charge(0, key)], 0.0) is None for _ in range(9)) for key in "ba"] == [3, 4]
+        assert store.take([Charge(0, key)], 0.0) is None
+    store.renew(both[1].limits, 0.0)
+    assert [sum(store.take([Charge(0, key)], 0.0) is None for _ in range(9)) for key in "ba"] == [3, 4]
 
 
 def test_shadow_refuses_nothing_and_is_charged_like_the_rest() -> None:
-    compiled, purse = compiled_of(
+    compiled, store = compiled_of(
         policy_of("""quota f { rate 9/s quota s { match class look rate 2/s shadow } }
         quota g { rate 1/s burst 4 shadow }""")
     )
-    said = [compiled.decide(QuotaRequest("look"), 0.0, purse) for _ in range(10)]
+    said = [compiled.decide(QuotaRequest("look"), 0.0, store) for _ in range(10)]
     assert [one.allowed for one in said] == [True] * 9 + [False]
     assert [one.shadowed for one in said] == [""] * 2 + ["f/s"] * 7 + [""]
 
@@ -126,13 +126,13 @@
     policy = policy_of(f"""quota f {{ rate 100/s burst 20
         quota g {{ match class look guaranteed 50/s }}
         quota h {{ match class scan worth {worth} }} }}""")
-    compiled, purse = compiled_of(policy)
+    compiled, store = compiled_of(policy)
     now = 0.0
     for flood in others:
         now += 20.0  # 50/s
         for _ in range(10 if flood else 0):
-            compiled.decide(QuotaRequest("scan"), now, purse)
-        assert compiled.decide(QuotaRequest("look"), now, purse).allowed
+            compiled.decide(QuotaRequest("scan"), now, store)
+        assert compiled.decide(QuotaRequest("look"), now, store).allowed
 
 
 def test_idle_parts_lend_and_worth_goes_first() -> None:
@@ -142,12 +142,12 @@
         quota l { match class scan worth 1 } }"""
     share = {}
     for mix in (("scan",), ("look", "scan"), ("look", "scan", "acme")):
-        compiled, purse = compiled_of(policy_of(text))
+        compiled, store = compiled_of(policy_of(text))
         admitted: dict[str, int] = defaultdict(int)
         for ms in range(20_000):
             for one in mix:
                 asked = QuotaRequest("scan", "acme") if one == "acme" else QuotaRequest(one)
-                admitted[one] += compiled.decide(asked, float(ms), purse).allowed
+                admitted[one] += compiled.decide(asked, float(ms), store).allowed
         share[mix] = {one: round(number / 20) for one, number in admitted.items()}  # a second
     assert abs(share["scan",]["scan"] - 100) <= 2  # all that idle ones leave
     assert share["look", "scan"]["look"] >= 98
@@ -190,25 +190,25 @@
 def test_other_figures_bring_no_token_of_their_own() -> None:
     text = "schedule s: from 12-01 to 12-24 quota f { rate 10/s burst 10 during s { rate 20/s burst 20 } }"
     policy = policy_of(text)
-    purse = LocalTokenStore(policy.limits)
-    assert sum(purse.take([Charge(0)], 0.0) is None for _ in range(20)) == 10
-    purse.renew(policy.limits_during(frozenset("s")), 0.0)
-    assert purse.take([Charge(0)], 0.0) is not None
-    assert sum(purse.take([Charge(0)], 5000.0) is None for _ in range(40)) == 20
-    purse.renew(policy.limits_during(frozenset()), 5000.0)
-    assert purse.take([Charge(0)], 5000.0) is not None
-    assert sum(purse.take([Charge(0)], 9000.0) is None for _ in range(40)) == 10
+    store = LocalTokenStore(policy.limits)
+    assert sum(store.take([Charge(0)], 0.0) is None for _ in range(20)) == 10
+    store.renew(policy.limits_during(frozenset("s")), 0.0)
+    assert store.take([Charge(0)], 0.0) is not None
+    assert sum(store.take([Charge(0)], 5000.0) is None for _ in range(40)) == 20
+    store.renew(policy.limits_during(frozenset()), 5000.0)
+    assert store.take([Charge(0)], 5000.0) is not None
+    assert sum(store.take([Charge(0)], 9000.0) is None for _ in range(40)) == 10
 
 
 def test_a_refusal_says_when_only_as_the_settings_and_the_limit_have_it() -> None:
     text = "quota f { match class look rate 1/s } quota g { match class scan rate 1/s retry-after no }"
     for most, told in ((0.0, 0.0), (500.0, 500.0), (1e9, 1000.0)):
-        compiled, purse = (
+        compiled, store = (
             CompiledPolicy(policy_of(text).limits, most),
             LocalTokenStore(policy_of(text).limits),
         )
         said = {
-            one: [compiled.decide(QuotaRequest(one), 0.0, purse) for _ in "12"][1] for one in ("look", "scan")
+            one: [compiled.decide(QuotaRequest(one), 0.0, store) for _ in "12"][1] for one in ("look", "scan")
         }
         assert (said["look"].refused_by, said["look"].retry_after_ms) == ("f", told)
         assert (said["scan"].refused_by, said["scan"].retry_after_ms) == ("g", 0.0)
@@ -235,9 +235,9 @@
 
 
 def test_names_from_outside_fill_no_memory() -> None:
-    compiled, purse = compiled_of(policy_of("quota f { rate 9/s by tenant quota a { match tenant acme } }"))
+    compiled, store = compiled_of(policy_of("quota f { rate 9/s by tenant quota a { match tenant acme } }"))
     for i in range(MAX_RECENT_PLANS + 9):
-        compiled.decide(QuotaRequest("look", f"t{i}", address=f"10.0.0.{i}"), 0.0, purse)
-    assert len(compiled._recent) <= MAX_RECENT_PLANS
-    assert len(compiled._known) == 1
-    assert len(purse) <= 1000
+        compiled.decide(QuotaRequest("look", f"t{i}", address=f"10.0.0.{i}"), 0.0, store)
+    assert len(compiled._recent_plans) <= MAX_RECENT_PLANS
+    assert len(compiled._plans) == 1
+    assert len(store) <= 1000
--- a/tests/test_quota_language.py
+++ b/tests/test_quota_language.py
@@ -86,14 +86,14 @@
     "quota f { rate 3/s quota a { match class look }\n quota b { match class look zone a } }":
         ("LL301", 3, 29, "'zone' cannot stand here"),
     "quota f { rate 3/s quota a { match class look }\n quota b { match class look match zone a } }":
-        ("LL303", 3, 2, "taken by f/a"),
+        ("LL303", 3, 2, "matched earlier by f/a"),
     "quota f { rate 3/s quota a { match class look } quota b { match class scan }\n quota c { } }":
-        ("LL303", 3, 2, "taken by those before it"),
+        ("LL303", 3, 2, "matched earlier by several quotas together"),
     "quota f { rate 3/s match key u quota a { match key v quota b { } } }":
-        ("LL303", 2, 32, "no request that comes to f"),
+        ("LL303", 2, 32, "no request that matches f also matches f/a"),
     "quota f { rate 3/s quota a { match address 10.0.0.0/8 }\n quota b { match address 10.1.0.0/16 } }":
-        ("LL303", 3, 2, "taken by f/a"),
-    "quota f { rate 3/s quota a { rate 4/s } }": ("LL304", 2, 20, "rate 4/s, f round it 3/s"),
+        ("LL303", 3, 2, "matched earlier by f/a"),
+    "quota f { rate 3/s quota a { rate 4/s } }": ("LL304", 2, 20, "rate 4/s, its parent f 3/s"),
     "quota f { rate 3/s quota a { burst 4 } }": ("LL304", 2, 20, "burst 4"),
     "schedule s: 1 day before easter quota f {rate 3/s during s {rate 1/s}\n quota a {rate 2/s burst 1}}":
         ("LL304", 3, 2, "during s"),
@@ -118,7 +118,7 @@
     "quota f { rate 3/s burst 0 }": ("LL309", 2, 20, "must be 1"),
     "quota f { rate 3/s by key most 0 }": ("LL309", 2, 32, "whole number from 1"),
     "schedule s: from 12-01 to 13-01": ("LL309", 2, 27, "no day 13-01"),
-    "quota f { rate 3/s }\nexpect 4 of class look: admitted": ("LL310", 3, 1, "admitted 3, refused by f"),
+    "quota f { rate 3/s }\nexpect 4 of class look: admitted": ("LL310", 3, 1, "3 are admitted, refused by f"),
     "quota f { rate 3/s } quota g { rate 9/s }\nexpect 4 of class look: admitted 3 refused by g":
         ("LL310", 3, 1, "refused by f"),
     "quota f { rate 3/s }\nexpect class look: admitted charged nothing": ("LL310", 3, 1, "is charged f"),
@@ -180,7 +180,7 @@
     case = 'expect 2 of class look tenant acme key "a b" address ::1 second-try: admitted'
     policy, findings = read_policy(f'policy "p" {case}')
     assert findings == []
-    assert policy.expected_cases[0].asked == QuotaRequest("look", "acme", "", "a b", "::1", True)
+    assert policy.expected_cases[0].request == QuotaRequest("look", "acme", "", "a b", "::1", True)
 
 
 def test_check_says_what_is_wrong_with_a_policy(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_quota_states.py
+++ b/tests/test_quota_states.py
@@ -24,7 +24,7 @@
     @initialize(policy=policies())
     def begin(self, policy: Policy) -> None:
         self.limits: Sequence[Limit] = policy.limits
-        self.compiled, self.purse, self.now = (
+        self.compiled, self.store, self.now = (
             CompiledPolicy(policy.limits, 1e9),
             LocalTokenStore(policy.limits),
             0.0,
@@ -40,10 +40,10 @@
     def ask(self, asked: QuotaRequest, times: int, refunded: bool) -> None:
         charges, _ = self.compiled.charges_for(asked)
         for _ in range(times):
-            if self.purse.take(charges, self.now) is not None:
+            if self.store.take(charges, self.now) is not None:
                 return
             if refunded:
-                self.purse.refund(charges, self.now)
+                self.store.refund(charges, self.now)
                 continue
             for charge in charges:
                 came = self.came[charge]
@@ -68,12 +68,12 @@
         for i, limit in enumerate(self.limits):
             rate, burst = self.most[i]
             self.most[i] = (max(rate, limit.rate_per_s), max(burst, limit.burst))
-        self.purse.renew(self.limits, self.now)
+        self.store.renew(self.limits, self.now)
 
     @invariant()
     def bounded(self) -> None:
         if hasattr(self, "limits"):
-            assert len(self.purse) <= sum(limit.max_values for limit in self.limits)
+            assert len(self.store) <= sum(limit.max_values for limit in self.limits)
 
 
 AnyOrder.TestCase.settings = settings(
