--- a/lupinlink/quota/loading.py
+++ b/lupinlink/quota/loading.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 from lupinlink.coordination.contract import MOST_VALUE
+from lupinlink.quota.cases import failed_cases
 from lupinlink.quota.checks import check_policy
 from lupinlink.quota.errors import BadPolicyError, PolicyError, PolicyFileError, PolicySyntaxError
-from lupinlink.quota.expected_cases import failed_cases
 from lupinlink.quota.language.reading import read_policy
 from lupinlink.quota.model import NOWHERE, Policy
 from lupinlink.quota.reachability import KnownNames
--- a/lupinlink/quota/reachability.py
+++ b/lupinlink/quota/reachability.py
@@ -1,8 +1,8 @@
 """Finds quotas that no request can reach because earlier ones match them all. Performs no I/O.
 
 Requests are divided into combinations of the names that the quotas mention. For each combination it is
-checked whether a single earlier quota covers it. Key prefixes and address ranges are not merged, so two halves
-of a range are not recognized as covering it; a reachable quota is never reported as unreachable.
+checked whether a single earlier quota covers it. Key prefixes and address ranges are not merged, so two
+halves of a range are not recognized as covering it; a reachable quota is never reported as unreachable.
 """
 
 from __future__ import annotations
