--- a/lupinlink/quota/language/match_statements.py
+++ b/lupinlink/quota/language/match_statements.py
@@ -1,4 +1,4 @@
-"""What a quota's ``match`` and ``by`` statements say."""
+"""Reads the ``match`` and ``by`` statements of a quota."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from lupinlink.quota.language.parsing import Node, place_of
 from lupinlink.quota.model import Match, Network, Place
 
-MAX_VALUES = 100_000  # buckets of one quota; one with its entry is some 300 bytes
-NAMED_VALUES = 1000  # buckets where the settings bound the values: classes, tenants, zones
-BITS, BITS6 = 32, 64  # of an address: an IPv6 client has a network of 64 bits to itself
+MAX_VALUES = 100_000  # buckets of one quota; each takes about 300 bytes with its table entry
+NAMED_VALUES = 1000  # default for classes, tenants and zones, whose number the settings bound
+BITS, BITS6 = 32, 64  # default prefix lengths; an IPv6 client has a /64 network to itself
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """What a quota counts by."""
+class ValueCount:
+    """The ``by`` statement of a quota."""
 
     by: str = ""
     bits: int = 0
@@ -27,16 +27,16 @@
     most: int = 1
 
 
-def word(token: Token) -> str:
-    """A name as it is written, or the text between quotes."""
+def text_of(token: Token) -> str:
+    """The text of a name or of a quoted string."""
     text = str(token)
     if token.type != "STRING":
         return text
     return text[1:-1].replace('\\"', '"').replace("\\\\", "\\")
 
 
-def whole(token: Token, least: int, most: int, what: str, findings: list[PolicyError]) -> int:
-    """A number that must be whole and in a range."""
+def integer(token: Token, least: int, most: int, what: str, findings: list[PolicyError]) -> int:
+    """The value of a token that must be an integer in a range; otherwise adds a finding."""
     number = float(str(token))
     if number != int(number) or not least <= number <= most:
         text = f"{what} must be a whole number from {least} to {most}, not {token}"
@@ -45,8 +45,8 @@
     return int(number)
 
 
-def matched(nodes: Iterable[Node], findings: list[PolicyError]) -> Match:
-    """All ``match`` statements of a quota together; of each field one."""
+def read_match(nodes: Iterable[Node], findings: list[PolicyError]) -> Match:
+    """Combine the ``match`` statements of a quota, at most one per field."""
     names: dict[str, tuple[str, ...]] = {}
     networks: list[Network] = []
     second_try: bool | None = None
@@ -57,7 +57,7 @@
         assert isinstance(field, Token)
         kind = "try" if field.type in ("SECOND_TRY", "FIRST_TRY") else str(field)
         if kind in seen:
-            text = f"'match {field}' stands here a second time; give all values in one, with commas"
+            text = f"'match {field}' is stated twice; list all values in one statement, with commas"
             findings.append(StatementError(text, place_of(node)))
         seen.add(kind)
         tokens = [child.children[0] for child in values if not isinstance(child, Token)]
@@ -66,7 +66,7 @@
         elif kind == "address":
             networks += _networks(tokens, findings)
         else:
-            names[kind] = tuple(word(token) for token in tokens if isinstance(token, Token))
+            names[kind] = tuple(text_of(token) for token in tokens if isinstance(token, Token))
             places |= {(kind, name): place_of(t) for name, t in zip(names[kind], tokens, strict=True)}
             if not all(names[kind]) and kind in ("class", "key"):
                 findings.append(StatementError(f"an empty {kind} matches nothing", place_of(node)))
@@ -87,23 +87,23 @@
         try:
             found.append(ip_network(str(token)))
         except ValueError as exc:
-            findings.append(StatementError(f"no address range: {exc}", place_of(token)))
+            findings.append(StatementError(f"invalid address range: {exc}", place_of(token)))
     return found
 
 
-def counted(nodes: list[Node], outer: Counted, findings: list[PolicyError]) -> Counted:
-    """The ``by`` statement of a quota; ``outer``: that of the one round it, whose values count along."""
+def read_by(nodes: list[Node], parent: ValueCount, findings: list[PolicyError]) -> ValueCount:
+    """Read the ``by`` statement of a quota; ``outer``: that of its parent, with which it nests."""
     if not nodes:
-        return Counted(most=outer.most)
-    for again in nodes[1:]:
-        findings.append(StatementError("'by' stands here a second time; nest a quota", place_of(again)))
+        return ValueCount(most=parent.most)
+    for repeated in nodes[1:]:
+        findings.append(StatementError("'by' is stated twice; nest a quota instead", place_of(repeated)))
     node = nodes[0]
     field = str(node.children[0])
     tokens = [child for child in node.children[1:] if isinstance(child, Token)]
     mosts = [child for child in node.children if not isinstance(child, Token)]
     bits, bits6 = (BITS, BITS6) if field == "address" else (0, 0)
     if len(tokens) > 2:
-        findings.append(StatementError("/BITS stand once for IPv4 and once for IPv6", place_of(tokens[2])))
+        findings.append(StatementError("give /BITS at most twice: for IPv4, then IPv6", place_of(tokens[2])))
     for i, token in enumerate(tokens[:2]):
         given = int(str(token)[1:])
         if not 1 <= given <= (32, 128)[i]:
@@ -115,12 +115,12 @@
     if mosts:
         number = mosts[0].children[0]
         assert isinstance(number, Token)
-        most = whole(number, 1, MAX_VALUES, "'most'", findings)
-    elif field in ("key", "address") or outer.most > 1:
-        inside = " inside another 'by'" if outer.most > 1 else ""
+        most = integer(number, 1, MAX_VALUES, "'most'", findings)
+    elif field in ("key", "address") or parent.most > 1:
+        inside = " inside another 'by'" if parent.most > 1 else ""
         text = f"'by {field}'{inside} has no bound on its values"
         findings.append(UnboundedError(text, place_of(node)))
         most = 1
     else:
         most = NAMED_VALUES
-    return Counted(field, bits, bits6, most)
+    return ValueCount(field, bits, bits6, most)
--- a/lupinlink/quota/language/parsing.py
+++ b/lupinlink/quota/language/parsing.py
@@ -1,4 +1,4 @@
-"""From a policy's text to the tree of the grammar by lark, and a syntax error in one clear line."""
+"""Parses a policy into a lark tree and turns syntax errors into one-line messages."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lupinlink.quota.model import Place
 
 Node = Tree[Token]
-WORDS = {  # what a person calls those that are no keyword
+DESCRIPTIONS = {  # of terminals that are not keywords
     "NAME": "a name",
     "STRING": 'a text in "quotes"',
     "NUMBER": "a number",
@@ -29,7 +29,7 @@
     "FEAST": "christmas or easter",
     "$END": "the end of the file",
 }
-SHOWN = 20  # characters of what was met instead
+MAX_SHOWN = 20  # characters of the unexpected text in a message
 
 
 @cache
@@ -41,13 +41,13 @@
 @cache
 def _name(terminal: str) -> str:
     pattern = next((t.pattern for t in _parser().terminals if t.name == terminal), None)
-    if terminal in WORDS or not isinstance(pattern, PatternStr):
-        return WORDS.get(terminal, terminal.lower())
+    if terminal in DESCRIPTIONS or not isinstance(pattern, PatternStr):
+        return DESCRIPTIONS.get(terminal, terminal.lower())
     return f"'{pattern.value}'"
 
 
 def parse(text: str) -> Node:
-    """The tree of ``policy.lark``. Raises SyntaxFaultError with the first place that does not fit."""
+    """Parse a text by ``policy.lark``. Raises PolicySyntaxError at the first error."""
     try:
         return _parser().parse(text)
     except UnexpectedInput as exc:
@@ -58,17 +58,17 @@
     at_end = isinstance(exc, UnexpectedEOF) or (isinstance(exc, UnexpectedToken) and exc.token.type == "$END")
     if at_end:
         lines = text.split("\n")
-        place, met = Place(len(lines), len(lines[-1]) + 1), "the text ends here"
+        place, met = Place(len(lines), len(lines[-1]) + 1), "unexpected end of the file"
     else:
         place = Place(exc.line, exc.column)
         rest = text.split("\n")[exc.line - 1][exc.column - 1 :]
-        met = f"{(rest.split() or [rest])[0][:SHOWN]!r} cannot stand here"
+        met = f"unexpected {(rest.split() or [rest])[0][:MAX_SHOWN]!r}"
     words = ", ".join(sorted(_name(terminal) for terminal in _wanted(text)))
-    return PolicySyntaxError(f"{met}; there may stand: {words}", place)
+    return PolicySyntaxError(f"{met}; expected one of: {words}", place)
 
 
 def _wanted(text: str) -> set[str]:
-    """What may stand where the text first does not fit; the error itself names some that may not."""
+    """The terminals accepted at the first error; lark's own list has some that are not accepted there."""
     parsing = _parser().parse_interactive(text)
     with suppress(UnexpectedInput):
         parsing.exhaust_lexer()
@@ -76,7 +76,7 @@
 
 
 def place_of(node: Node | Token) -> Place:
-    """Where a part of the tree begins."""
+    """The start position of a node or token."""
     if isinstance(node, Token):
         return Place(node.line or 0, node.column or 0)
     return Place(node.meta.line, node.meta.column)
--- a/lupinlink/quota/language/quota_blocks.py
+++ b/lupinlink/quota/language/quota_blocks.py
@@ -1,4 +1,4 @@
-"""From a ``quota`` of the tree to a limit and those inside it."""
+"""Turns ``quota`` nodes of the tree into limits."""
 
 from __future__ import annotations
 
@@ -8,117 +8,124 @@
 
 from lupinlink.quota.errors import PolicyError, StatementError, UnknownNameError
 from lupinlink.quota.language import rate_statements
-from lupinlink.quota.language.match_statements import Counted, counted, matched
+from lupinlink.quota.language.match_statements import ValueCount, read_by, read_match
 from lupinlink.quota.language.parsing import Node, place_of
 from lupinlink.quota.model import Limit, Place, RateParameters
 
-MAX_DEPTH = 8  # quotas in one another
-MAX_LIMITS = 500  # in a file
+MAX_DEPTH = 8  # levels of nested quotas
+MAX_LIMITS = 500  # per file
 MAX_WORTH = 1e6
 
 
 @dataclass(slots=True)
 class Reading:
-    """What was read so far."""
+    """State while a policy is read."""
 
     schedules: frozenset[str]
     limits: dict[str, Limit] = field(default_factory=dict)  # by path, in the order of the file
     findings: list[PolicyError] = field(default_factory=list)
 
 
-def read_quota(node: Node, outer: Limit | None, around: Counted, depth: int, reading: Reading) -> None:
-    """Add a limit and all inside it; what is wrong becomes a finding, and the rest is read on."""
+def read_quota(
+    node: Node, parent: Limit | None, parent_count: ValueCount, depth: int, reading: Reading
+) -> None:
+    """Add a limit and its descendants; errors become findings, and reading continues."""
     name = str(node.children[0])
-    path = f"{outer.path}/{name}" if outer else name
+    path = f"{parent.path}/{name}" if parent else name
     place, findings = place_of(node), reading.findings
     if path in reading.limits or depth > MAX_DEPTH or len(reading.limits) >= MAX_LIMITS:
-        what = f"there is a quota {path} already"
+        what = f"there is already a quota {path}"
         if path not in reading.limits:
-            what = f"quotas stand at most {MAX_DEPTH} deep in one another, and {MAX_LIMITS} in a file"
+            what = f"quotas nest at most {MAX_DEPTH} deep, and a file has at most {MAX_LIMITS}"
         findings.append(StatementError(what, place))
         return
     nodes = [child for child in node.children[1:] if not isinstance(child, Token)]
-    of: dict[str, list[Node]] = {}
+    by_kind: dict[str, list[Node]] = {}
     for child in nodes:
-        of.setdefault(str(child.data), []).append(child)
+        by_kind.setdefault(str(child.data), []).append(child)
     for kind in ("worth", "borrows", "retry", "shadow"):
-        for again in of.get(kind, [])[1:]:
-            findings.append(StatementError("this stands here a second time", place_of(again)))
-    by = counted(of.get("by", []), around, findings)
-    limit = _limit(path, of, outer, by, place, reading)
+        for repeated in by_kind.get(kind, [])[1:]:
+            findings.append(StatementError("this statement is stated twice", place_of(repeated)))
+    by = read_by(by_kind.get("by", []), parent_count, findings)
+    limit = _limit(path, by_kind, parent, by, place, reading)
     if limit is None:
         return
     reading.limits[path] = limit
-    inside = Counted(most=by.most)
-    for child in of.get("quota", []):
+    inside = ValueCount(most=by.most)
+    for child in by_kind.get("quota", []):
         read_quota(child, limit, inside, depth + 1, reading)
 
 
 def _limit(
-    path: str, of: dict[str, list[Node]], outer: Limit | None, by: Counted, place: Place, reading: Reading
+    path: str,
+    by_kind: dict[str, list[Node]],
+    parent: Limit | None,
+    by: ValueCount,
+    place: Place,
+    reading: Reading,
 ) -> Limit | None:
     findings = reading.findings
-    said = rate_statements.stated(
-        [n for word in rate_statements.WORDS for n in of.get(word, [])], "", findings
+    own = rate_statements.read_rates(
+        [n for text_of in rate_statements.KEYWORDS for n in by_kind.get(text_of, [])], "", findings
     )
-    base = rate_statements.default_parameters(said, outer.default_parameters if outer else None)
+    base = rate_statements.default_parameters(own, parent.default_parameters if parent else None)
     if base is None:
-        findings.append(StatementError(f"{path} has no rate, and no quota round it has one", place))
+        findings.append(StatementError(f"{path} has no rate, and no parent to inherit one from", place))
         return None
-    if by.by and said.rate is None:
+    if by.by and own.rate is None:
         findings.append(StatementError(f"{path} counts by {by.by} and has no rate of its own", place))
-    blocks: list[tuple[str, Place, rate_statements.Stated]] = []
-    for node in of.get("during", []):
-        name, spot = str(node.children[0]), place_of(node)
+    blocks: list[tuple[str, Place, rate_statements.StatedRates]] = []
+    for node in by_kind.get("during", []):
+        name, during_place = str(node.children[0]), place_of(node)
         if name not in reading.schedules:
-            findings.append(UnknownNameError(f"there is no schedule {name}", spot))
+            findings.append(UnknownNameError(f"there is no schedule {name}", during_place))
         if name in [block[0] for block in blocks]:
-            findings.append(StatementError(f"'during {name}' stands here a second time", spot))
+            findings.append(StatementError(f"'during {name}' is stated twice", during_place))
         inner = [child for child in node.children if not isinstance(child, Token)]
-        blocks.append((name, spot, rate_statements.stated(inner, said.unit, findings)))
+        blocks.append((name, during_place, rate_statements.read_rates(inner, own.unit, findings)))
     limit = Limit(
         path=path,
         rate_per_s=base.rate_per_s,
         burst=base.burst,
-        parent=outer.path if outer else "",
+        parent=parent.path if parent else "",
         guaranteed_per_s=base.guaranteed_per_s,
-        borrows=_yes(of.get("borrows"), True),
-        worth=_worth(of.get("worth"), findings),
+        borrows=_yes(by_kind.get("borrows"), True),
+        worth=_worth(by_kind.get("worth"), findings),
         by=by.by,
         by_ipv4_bits=by.bits,
         by_ipv6_bits=by.bits6,
         max_values=by.most,
-        shadow="shadow" in of or (outer is not None and outer.shadow),
-        sends_retry_after=_yes(of.get("retry"), outer.sends_retry_after if outer else True),
-        match=matched(of.get("match", []), findings),
-        overrides=rate_statements.overrides(said, blocks, base, outer.overrides if outer else ()),
+        shadow="shadow" in by_kind or (parent is not None and parent.shadow),
+        sends_retry_after=_yes(by_kind.get("retry"), parent.sends_retry_after if parent else True),
+        match=read_match(by_kind.get("match", []), findings),
+        overrides=rate_statements.overrides(own, blocks, base, parent.overrides if parent else ()),
         default_parameters=base,
         place=place,
     )
-    _fits(limit, of, findings)
+    _report_conflicts(limit, by_kind, findings)
     return limit
 
 
-def _fits(limit: Limit, of: dict[str, list[Node]], findings: list[PolicyError]) -> None:
-    """Statements that do not go with one another."""
-    every = [
+def _report_conflicts(limit: Limit, by_kind: dict[str, list[Node]], findings: list[PolicyError]) -> None:
+    """Report statements that contradict each other."""
+    all_parameters = [
         limit.default_parameters or RateParameters(0.0, 0.0),
-        *(season.parameters for season in limit.overrides),
+        *(override.parameters for override in limit.overrides),
     ]
-    guaranteed = any(one.guaranteed_per_s for one in every)
+    guaranteed = any(one.guaranteed_per_s for one in all_parameters)
     if not limit.parent:
         for kind in ("guaranteed", "borrows", "worth"):
-            for node in of.get(kind, []):
-                text = f"'{kind}' is of the quota round it, and there is none round {limit.path}"
+            for node in by_kind.get(kind, []):
+                text = f"'{kind}' refers to the parent, and {limit.path} has none"
                 findings.append(StatementError(text, place_of(node)))
     if guaranteed and limit.by:
-        text = f"a guaranteed part is of the whole of {limit.path}, and it counts by {limit.by}"
+        text = f"{limit.path} counts by {limit.by}, so it cannot have a guaranteed rate"
         findings.append(StatementError(text, limit.place))
-    if not limit.borrows and not all(one.guaranteed_per_s for one in every):
-        text = f"{limit.path} borrows nothing and is guaranteed nothing: it would never let anything in"
+    if not limit.borrows and not all(one.guaranteed_per_s for one in all_parameters):
+        text = f"{limit.path} neither borrows nor has a guaranteed rate: it would admit nothing"
         findings.append(StatementError(text, limit.place))
-    if any(one.guaranteed_per_s > one.rate_per_s for one in every):
-        text = f"{limit.path} is guaranteed more than its own rate"
+    if any(one.guaranteed_per_s > one.rate_per_s for one in all_parameters):
+        text = f"the guaranteed rate of {limit.path} is above its own rate"
         findings.append(StatementError(text, limit.place))
 
 
--- a/lupinlink/quota/language/reading.py
+++ b/lupinlink/quota/language/reading.py
@@ -1,6 +1,6 @@
-"""From a policy's text to the policy, with findings of statements that do not hold for themselves.
+"""Reads a policy from text and reports statements that are invalid by themselves.
 
-What needs the settings, or one quota held against another, is found by ``lupinlink.quota.checks``.
+Errors that depend on the settings or on other quotas are found by ``lupinlink.quota.checks``.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 from lark import Token
 
 from lupinlink.quota.errors import PolicyError, StatementError
-from lupinlink.quota.language.match_statements import Counted, whole, word
+from lupinlink.quota.language.match_statements import ValueCount, integer, text_of
 from lupinlink.quota.language.parsing import Node, parse, place_of
 from lupinlink.quota.language.quota_blocks import Reading, read_quota
 from lupinlink.quota.model import ExpectedCase, Policy, QuotaRequest, Schedule
 
-MAX_COUNT = 10_000  # requests of one expected case
+MAX_COUNT = 10_000  # requests per expected case
 MAX_DAYS = 366
-MAX_SCHEDULES = 8  # all ways in which they may hold together are checked
+MAX_SCHEDULES = 8  # the checks go through every combination of them
 NAMES = {"class": "class_name", "tenant": "tenant", "zone": "zone", "key": "key", "address": "address"}
 
 
 def read_policy(text: str) -> tuple[Policy, list[PolicyError]]:
-    """The policy, and what is wrong with it; good for use only without findings. Raises SyntaxFaultError."""
+    """The policy and its findings; it is usable only without any. Raises PolicySyntaxError."""
     tree = parse(text)
     findings: list[PolicyError] = []
-    candidate_version: dict[str, list[Node]] = {}
+    by_kind: dict[str, list[Node]] = {}
     for child in tree.children:
         if not isinstance(child, Token):
-            candidate_version.setdefault(str(child.data), []).append(child)
-    (head,) = candidate_version["head"]
-    version = word(_token(head, 0))
+            by_kind.setdefault(str(child.data), []).append(child)
+    (head,) = by_kind["head"]
+    version = text_of(_token(head, 0))
     if not version:
-        findings.append(StatementError("a policy needs a version that tells it from others", place_of(head)))
+        findings.append(StatementError("the version of a policy must not be empty", place_of(head)))
     schedules: dict[str, Schedule] = {}
-    for node in candidate_version.get("schedule", []):
+    for node in by_kind.get("schedule", []):
         schedule = _schedule(node, findings)
         if schedule.name in schedules or len(schedules) >= MAX_SCHEDULES:
-            text = f"schedule {schedule.name} stands here a second time, or over {MAX_SCHEDULES} stand here"
+            text = f"schedule {schedule.name} is repeated, or there are over {MAX_SCHEDULES} schedules"
             findings.append(StatementError(text, place_of(node)))
         schedules[schedule.name] = schedule
     reading = Reading(frozenset(schedules), findings=findings)
-    for node in candidate_version.get("quota", []):
-        read_quota(node, None, Counted(), 1, reading)
-    expected_cases = tuple(_expect(node, findings) for node in candidate_version.get("expect", []))
+    for node in by_kind.get("quota", []):
+        read_quota(node, None, ValueCount(), 1, reading)
+    expected_cases = tuple(_expect(node, findings) for node in by_kind.get("expect", []))
     return Policy(
         version, tuple(reading.limits.values()), tuple(schedules.values()), expected_cases
     ), findings
@@ -63,7 +63,7 @@
     if span.data == "before":
         period, feast = str(span.children[1]), str(span.children[2])
         days = 7 if period.startswith("week") else 1
-        count = whole(_token(span, 0), 1, MAX_DAYS // days, f"{period} before a feast", findings)
+        count = integer(_token(span, 0), 1, MAX_DAYS // days, f"{period} before a feast", findings)
         return replace(schedule, feast=feast, days=count * days)
     first, last = (_day(_token(span, i), findings) for i in (0, 1))
     return replace(schedule, first=first, last=last)
@@ -72,7 +72,7 @@
 def _day(token: Token, findings: list[PolicyError]) -> tuple[int, int]:
     month, day = (int(part) for part in str(token).split("-"))
     try:
-        datetime.date(2000, month, day)  # a leap year: 02-29 is a day of some years
+        datetime.date(2000, month, day)  # a leap year, so that 02-29 is accepted
     except ValueError:
         findings.append(StatementError(f"there is no day {token}; months go first", place_of(token)))
         return 1, 1
@@ -80,33 +80,37 @@
 
 
 def _expect(node: Node, findings: list[PolicyError]) -> ExpectedCase:
-    candidate_version: dict[str, list[Node]] = {}
+    by_kind: dict[str, list[Node]] = {}
     for child in node.children:
         assert not isinstance(child, Token)
-        candidate_version.setdefault(str(child.data), []).append(child)
+        by_kind.setdefault(str(child.data), []).append(child)
     count = 1
-    if "count" in candidate_version:
-        count = whole(_token(candidate_version["count"][0], 0), 1, MAX_COUNT, "the count of a case", findings)
-    refused_by = str(candidate_version["refusal"][0].children[0]) if "refusal" in candidate_version else ""
+    if "count" in by_kind:
+        count = integer(_token(by_kind["count"][0], 0), 1, MAX_COUNT, "the count of a case", findings)
+    refused_by = str(by_kind["refusal"][0].children[0]) if "refusal" in by_kind else ""
     admitted = 0
-    if "admitted" in candidate_version:
-        (said,) = candidate_version["admitted"]
+    if "admitted" in by_kind:
+        (admitted_node,) = by_kind["admitted"]
         admitted = count
-        if said.children:
-            admitted = whole(_token(said, 0), 0, count, "how many are admitted", findings)
+        if admitted_node.children:
+            admitted = integer(_token(admitted_node, 0), 0, count, "how many are admitted", findings)
         if refused_by and admitted == count:
-            findings.append(StatementError("all are admitted and some are refused", place_of(said)))
+            findings.append(
+                StatementError(
+                    "the case says that all are admitted and that some are refused", place_of(admitted_node)
+                )
+            )
     limits: tuple[str, ...] | None = None
-    if "charged" in candidate_version:
-        tokens = candidate_version["charged"][0].children
+    if "charged" in by_kind:
+        tokens = by_kind["charged"][0].children
         limits = tuple(str(t) for t in tokens if isinstance(t, Token) and t.type == "PATH")
     return ExpectedCase(
-        _request(candidate_version["about"], findings),
+        _request(by_kind["about"], findings),
         count,
         admitted,
         refused_by,
         limits,
-        _date(candidate_version, findings),
+        _date(by_kind, findings),
         place_of(node),
     )
 
@@ -121,8 +125,8 @@
             continue
         name, value = NAMES[str(field)], node.children[1]
         if name in values:
-            findings.append(StatementError(f"'{field}' stands here a second time", place_of(node)))
-        values[name] = str(value) if isinstance(value, Token) else word(_token(value, 0))
+            findings.append(StatementError(f"'{field}' is stated twice", place_of(node)))
+        values[name] = str(value) if isinstance(value, Token) else text_of(_token(value, 0))
     return QuotaRequest(
         values.get("class_name", ""),
         values.get("tenant", ""),
@@ -133,10 +137,10 @@
     )
 
 
-def _date(candidate_version: dict[str, list[Node]], findings: list[PolicyError]) -> datetime.date | None:
-    if "on" not in candidate_version:
+def _date(by_kind: dict[str, list[Node]], findings: list[PolicyError]) -> datetime.date | None:
+    if "on" not in by_kind:
         return None
-    token = _token(candidate_version["on"][0], 0)
+    token = _token(by_kind["on"][0], 0)
     try:
         return datetime.date.fromisoformat(str(token))
     except ValueError:
--- a/tests/test_quota_language.py
+++ b/tests/test_quota_language.py
@@ -74,8 +74,8 @@
 
 
 FAULTS = {  # text after the first line: code, line, column, and a word of what is said
-    "quota f { rat 3/s }": ("LL301", 2, 11, "'rat' cannot stand here"),
-    "quota f { rate 3/s": ("LL301", 2, 19, "the text ends here"),
+    "quota f { rat 3/s }": ("LL301", 2, 11, "unexpected 'rat'"),
+    "quota f { rate 3/s": ("LL301", 2, 19, "unexpected end of the file"),
     "quota f { rate 3/m }": ("LL301", 2, 17, "/s, /min or /h"),
     'quota f { rate 3/s match key "k }': ("LL301", 2, 30, "a text in"),
     "quota f { rate 3/s\n match class look, lok }": ("LL302", 3, 20, "no class 'lok'; they have look, scan"),
@@ -84,7 +84,7 @@
     "quota f { rate 3/s during x { rate 2/s } }": ("LL302", 2, 20, "no schedule x"),
     "quota f { rate 3/s }\nexpect class look: refused by g": ("LL302", 3, 1, "no quota g"),
     "quota f { rate 3/s quota a { match class look }\n quota b { match class look zone a } }":
-        ("LL301", 3, 29, "'zone' cannot stand here"),
+        ("LL301", 3, 29, "unexpected 'zone'"),
     "quota f { rate 3/s quota a { match class look }\n quota b { match class look match zone a } }":
         ("LL303", 3, 2, "matched earlier by f/a"),
     "quota f { rate 3/s quota a { match class look } quota b { match class scan }\n quota c { } }":
@@ -102,7 +102,7 @@
     "quota f { rate 3 }": ("LL306", 2, 11, "needs a unit"),
     "quota f { rate 3/s burst 9/s }": ("LL306", 2, 20, "is a number of requests"),
     "quota f { rate 60/min burst 9 quota a { rate 60/min guaranteed 1/s } }":
-        ("LL306", 2, 53, "before it stands /min"),
+        ("LL306", 2, 53, "an earlier rate in /min"),
     "quota f { rate 9/s quota a { guaranteed 5/s match class look } quota b { guaranteed 5/s } }":
         ("LL307", 2, 1, "guaranteed 10/s, it has 9/s"),
     "quota f { rate 9/s burst 2 quota a { guaranteed 1/s match class look } quota b { guaranteed 1/s } }":
@@ -110,11 +110,11 @@
     "quota f { rate 3/s match class look retry-after no }": ("LL308", 2, 1, "refuses look without"),
     "quota q { rate 1/s " * 9 + "}" * 9: ("LL309", 2, 153, "at most 8 deep"),
     "quota f { burst 3 }": ("LL309", 2, 1, "has no rate"),
-    "quota f { rate 3/s rate 4/s }": ("LL309", 2, 20, "second time"),
-    "quota f { rate 3/s } quota f { rate 3/s }": ("LL309", 2, 22, "a quota f already"),
+    "quota f { rate 3/s rate 4/s }": ("LL309", 2, 20, "'rate' is stated twice"),
+    "quota f { rate 3/s } quota f { rate 3/s }": ("LL309", 2, 22, "already a quota f"),
     "quota f { rate 3/s match address 10.0.0.1/8 }": ("LL309", 2, 34, "has host bits set"),
-    "quota f { rate 3/s guaranteed 1/s }": ("LL309", 2, 20, "there is none round f"),
-    "quota f { rate 3/s quota a { borrows no } }": ("LL309", 2, 20, "never let anything in"),
+    "quota f { rate 3/s guaranteed 1/s }": ("LL309", 2, 20, "and f has none"),
+    "quota f { rate 3/s quota a { borrows no } }": ("LL309", 2, 20, "would admit nothing"),
     "quota f { rate 3/s burst 0 }": ("LL309", 2, 20, "must be 1"),
     "quota f { rate 3/s by key most 0 }": ("LL309", 2, 32, "whole number from 1"),
     "schedule s: from 12-01 to 13-01": ("LL309", 2, 27, "no day 13-01"),
