--- a/lupinlink/quota/language/quota_blocks.py
+++ b/lupinlink/quota/language/quota_blocks.py
@@ -51,9 +51,9 @@
     if limit is None:
         return
     reading.limits[path] = limit
-    inside = ValueCount(most=by.most)
+    child_count = ValueCount(most=by.most)
     for child in by_kind.get("quota", []):
-        read_quota(child, limit, inside, depth + 1, reading)
+        read_quota(child, limit, child_count, depth + 1, reading)
 
 
 def _limit(
@@ -66,7 +66,7 @@
 ) -> Limit | None:
     findings = reading.findings
     own = rate_statements.read_rates(
-        [n for text_of in rate_statements.KEYWORDS for n in by_kind.get(text_of, [])], "", findings
+        [n for keyword in rate_statements.KEYWORDS for n in by_kind.get(keyword, [])], "", findings
     )
     base = rate_statements.default_parameters(own, parent.default_parameters if parent else None)
     if base is None:
--- a/tests/quota_reference.py
+++ b/tests/quota_reference.py
@@ -1,6 +1,7 @@
-"""Random policies, and a naive interpreter of them that looks at every rule and adds up with exact fractions.
+"""Generators of random policies, and a naive reference implementation with exact fractions.
 
-It is written from docs/operators/quota-language.md, and shares nothing with the compiled form but the model.
+It follows docs/operators/quota-language.md, tests every limit in turn and shares only the data model with the
+compiled decision.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 NETWORKS = tuple(map(ip_network, ("10.0.0.0/8", "10.1.0.0/16", "2001:db8::/32", "10.1.2.0/24")))
 ADDRESSES = ("", "10.1.2.3", "10.1.9.9", "10.9.9.9", "::ffff:10.1.2.3", "2001:db8::1", "192.0.2.1", "none")
 
-asks = st.builds(
+requests = st.builds(
     QuotaRequest,
     st.sampled_from(CLASSES),
     st.sampled_from(("", *TENANTS)),
@@ -33,8 +34,8 @@
     return st.lists(st.sampled_from(values), min_size=1, max_size=2, unique=True).map(tuple)
 
 
-# Of a quota inside another mostly one condition, so that requests are shared out among several.
-matches = st.one_of(
+# Mostly one condition per nested quota, so that requests are spread over several of them.
+conditions = st.one_of(
     st.builds(Match, classes=_some(CLASSES)),
     st.builds(Match, tenants=_some(TENANTS), zones=_some(ZONES)),
     st.builds(Match, key_prefixes=_some(PREFIXES)),
@@ -46,28 +47,28 @@
 
 
 @st.composite
-def limits(draw: st.DrawFn, outer: Limit | None, name: str, depth: int) -> list[Limit]:
-    """A limit and all inside it."""
+def limits(draw: st.DrawFn, parent: Limit | None, name: str, depth: int) -> list[Limit]:
+    """A limit and its descendants."""
     rate, burst = draw(st.sampled_from((5, 20, 100))), draw(st.integers(6, 12))
     by, guaranteed = draw(st.sampled_from(("", "", "", "key", "address", "tenant"))), 0.0
-    if outer is not None:
-        rate, burst = min(rate, int(outer.rate_per_s)), min(burst, int(outer.burst))
-        guaranteed = draw(st.sampled_from((0.0, outer.rate_per_s / 10))) if not by else 0.0
+    if parent is not None:
+        rate, burst = min(rate, int(parent.rate_per_s)), min(burst, int(parent.burst))
+        guaranteed = draw(st.sampled_from((0.0, parent.rate_per_s / 10))) if not by else 0.0
     limit = Limit(
-        path=f"{outer.path}/{name}" if outer else name,
+        path=f"{parent.path}/{name}" if parent else name,
         rate_per_s=float(rate),
         burst=float(burst),
-        parent=outer.path if outer else "",
+        parent=parent.path if parent else "",
         guaranteed_per_s=guaranteed if guaranteed <= rate else 0.0,
         borrows=not guaranteed or guaranteed > rate or draw(st.booleans()),
-        worth=draw(st.sampled_from((1.0, 3.0, 0.5))) if outer else 1.0,
+        worth=draw(st.sampled_from((1.0, 3.0, 0.5))) if parent else 1.0,
         by=by,
         by_ipv4_bits=16 if by == "address" else 0,
         by_ipv6_bits=48 if by == "address" else 0,
-        max_values=draw(st.integers(1, 3)) if by else outer.max_values if outer else 1,
-        shadow=(outer.shadow if outer else False) or draw(st.integers(0, 9)) == 0,
-        sends_retry_after=outer.sends_retry_after if outer else True,
-        match=draw(matches if outer or draw(st.booleans()) else st.just(Match())),
+        max_values=draw(st.integers(1, 3)) if by else parent.max_values if parent else 1,
+        shadow=(parent.shadow if parent else False) or draw(st.integers(0, 9)) == 0,
+        sends_retry_after=parent.sends_retry_after if parent else True,
+        match=draw(conditions if parent or draw(st.booleans()) else st.just(Match())),
         default_parameters=RateParameters(
             float(rate), float(burst), guaranteed if guaranteed <= rate else 0.0
         ),
@@ -85,128 +86,139 @@
     return Policy("v", tuple(found))
 
 
-def matched(match: Match, asked: QuotaRequest) -> bool:
+def matches_request(match: Match, request: QuotaRequest) -> bool:
     try:
-        address = ip_address(asked.address)
+        address = ip_address(request.address)
         address = getattr(address, "ipv4_mapped", None) or address
     except ValueError:
         address = None
     return (
-        asked.class_name in (match.classes or (asked.class_name,))
-        and asked.tenant in (match.tenants or (asked.tenant,))
-        and asked.zone in (match.zones or (asked.zone,))
-        and any(asked.key.startswith(prefix) for prefix in match.key_prefixes or ("",))
+        request.class_name in (match.classes or (request.class_name,))
+        and request.tenant in (match.tenants or (request.tenant,))
+        and request.zone in (match.zones or (request.zone,))
+        and any(request.key.startswith(prefix) for prefix in match.key_prefixes or ("",))
         and (not match.networks or any(address is not None and address in one for one in match.networks))
-        and match.second_try in (None, asked.second_try)
+        and match.second_try in (None, request.second_try)
     )
 
 
-def way(policy: Policy, asked: QuotaRequest) -> list[Limit]:
-    """All limits that a request comes to."""
+def applicable_limits(policy: Policy, request: QuotaRequest) -> list[Limit]:
+    """All limits that apply to a request."""
 
-    def inside(path: str) -> list[Limit]:
-        fitting = [limit for limit in policy.limits if limit.parent == path and matched(limit.match, asked)]
+    def descendants_of(path: str) -> list[Limit]:
+        matching = [
+            limit for limit in policy.limits if limit.parent == path and matches_request(limit.match, request)
+        ]
         return [
-            one for limit in (fitting if not path else fitting[:1]) for one in (limit, *inside(limit.path))
+            one
+            for limit in (matching if not path else matching[:1])
+            for one in (limit, *descendants_of(limit.path))
         ]
 
-    return inside("")
+    return descendants_of("")
 
 
-class Level:
-    """One bucket and its reserves, filled step by step."""
+class ReferenceBucket:
+    """A bucket and its reserves, refilled at every step."""
 
-    def __init__(self, limit: Limit, parts: list[Limit], now: int) -> None:
+    def __init__(self, limit: Limit, charged_children: list[Limit], now: int) -> None:
         self.rate, self.burst = Fraction(limit.rate_per_s) / 1000, Fraction(limit.burst)
-        self.fills = {
-            one.path: Fraction(one.guaranteed_per_s) / 1000 for one in parts if one.guaranteed_per_s
+        self.reserve_rates = {
+            one.path: Fraction(one.guaranteed_per_s) / 1000
+            for one in charged_children
+            if one.guaranteed_per_s
+        }
+        self.full_reserves = {
+            p: max(Fraction(1), self.burst * fill / self.rate / 2) for p, fill in self.reserve_rates.items()
         }
-        self.most = {p: max(Fraction(1), self.burst * fill / self.rate / 2) for p, fill in self.fills.items()}
-        self.tokens, self.kept, self.at = self.burst, dict(self.most), now
+        self.tokens, self.reserves, self.updated_ms = self.burst, dict(self.full_reserves), now
 
-    def settle(self, now: int) -> None:
-        span, self.at = now - self.at, now
+    def refill(self, now: int) -> None:
+        span, self.updated_ms = now - self.updated_ms, now
         self.tokens = min(self.burst, self.tokens + span * self.rate)
-        self.kept = {p: min(self.most[p], had + span * self.fills[p]) for p, had in self.kept.items()}
+        self.reserves = {
+            p: min(self.full_reserves[p], had + span * self.reserve_rates[p])
+            for p, had in self.reserves.items()
+        }
 
-    def full(self) -> bool:
-        return self.tokens == self.burst and self.kept == self.most
+    def is_full(self) -> bool:
+        return self.tokens == self.burst and self.reserves == self.full_reserves
 
 
-class Reference:
-    """Decides as the page says; ``levels`` by limit and value, the one charged longest ago first."""
+class ReferenceDecision:
+    """Decides as documented; ``buckets`` by limit and value, least recently charged first."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
-        self.levels: dict[str, dict[str, Level]] = {limit.path: {} for limit in policy.limits}
-        self.shared: dict[str, Level] = {}
+        self.buckets: dict[str, dict[str, ReferenceBucket]] = {limit.path: {} for limit in policy.limits}
+        self.shared: dict[str, ReferenceBucket] = {}
 
-    def parts(self, limit: Limit) -> list[Limit]:
+    def charged_children(self, limit: Limit) -> list[Limit]:
         return [p for p in self.policy.limits if p.parent == limit.path and p.shadow == limit.shadow]
 
-    def level(self, limit: Limit, value: str, now: int) -> Level:
-        levels, shared = self.levels[limit.path], self.shared.get(limit.path)
-        for level in [*levels.values(), *([shared] if shared else [])]:
-            level.settle(now)
-        if value in levels:
-            return levels[value]
-        fresh = Level(limit, self.parts(limit), now)
-        if len(levels) >= limit.max_values:
-            oldest = next(iter(levels))
-            if not levels[oldest].full():
-                return self.shared.setdefault(limit.path, fresh)
-            del levels[oldest]
+    def bucket(self, limit: Limit, value: str, now: int) -> ReferenceBucket:
+        buckets, shared = self.buckets[limit.path], self.shared.get(limit.path)
+        for bucket in [*buckets.values(), *([shared] if shared else [])]:
+            bucket.refill(now)
+        if value in buckets:
+            return buckets[value]
+        new_bucket = ReferenceBucket(limit, self.charged_children(limit), now)
+        if len(buckets) >= limit.max_values:
+            oldest = next(iter(buckets))
+            if not buckets[oldest].is_full():
+                return self.shared.setdefault(limit.path, new_bucket)
+            del buckets[oldest]
         if shared is not None:
-            fresh.tokens, fresh.kept = shared.tokens, dict(shared.kept)
-        levels[value] = fresh
-        return fresh
+            new_bucket.tokens, new_bucket.reserves = shared.tokens, dict(shared.reserves)
+        buckets[value] = new_bucket
+        return new_bucket
 
-    def value(self, limit: Limit, asked: QuotaRequest) -> str:
-        outer = [one for one in self.policy.limits if limit.path.startswith(one.path + "/")]
+    def value(self, limit: Limit, request: QuotaRequest) -> str:
+        ancestors = [one for one in self.policy.limits if limit.path.startswith(one.path + "/")]
         values = []
-        for one in (*outer, limit):
+        for one in (*ancestors, limit):
             if one.by == "address":
                 try:
-                    address = ip_address(asked.address)
+                    address = ip_address(request.address)
                     address = getattr(address, "ipv4_mapped", None) or address
                     bits = one.by_ipv4_bits if address.version == 4 else one.by_ipv6_bits
                     values.append(str(ip_network(f"{address}/{bits}", strict=False)))
                 except ValueError:
                     values.append("")
             elif one.by:
-                values.append(str(getattr(asked, one.by)))
+                values.append(str(getattr(request, one.by)))
         return "\x1f".join(values)
 
-    def may(self, level: Level, limit: Limit, part: Limit | None) -> bool:
-        worth = part.worth if part else 1.0
-        if part and level.kept.get(part.path, 0) >= 1:
-            return level.tokens >= 1
-        if part and not part.borrows:
+    def has_token(self, bucket: ReferenceBucket, limit: Limit, child: Limit | None) -> bool:
+        worth = child.worth if child else 1.0
+        if child and bucket.reserves.get(child.path, 0) >= 1:
+            return bucket.tokens >= 1
+        if child and not child.borrows:
             return False
-        worths = sorted({1.0, *(one.worth for one in self.parts(limit))}, reverse=True)
-        room = max(Fraction(0), level.burst - sum(level.most.values()) - 1)
-        free = room / 2 * worths.index(worth) / max(1, len(worths) - 1)
-        return level.tokens >= 1 and level.tokens - sum(level.kept.values()) - free >= 1
+        worths = sorted({1.0, *(one.worth for one in self.charged_children(limit))}, reverse=True)
+        open_burst = max(Fraction(0), bucket.burst - sum(bucket.full_reserves.values()) - 1)
+        headroom = open_burst / 2 * worths.index(worth) / max(1, len(worths) - 1)
+        return bucket.tokens >= 1 and bucket.tokens - sum(bucket.reserves.values()) - headroom >= 1
 
-    def take(self, found: list[Limit], asked: QuotaRequest, now: int) -> bool:
+    def take(self, found: list[Limit], request: QuotaRequest, now: int) -> bool:
         pairs = []
         for i in reversed(range(len(found))):
-            part = found[i + 1] if i + 1 < len(found) and found[i + 1].parent == found[i].path else None
-            pairs.append((self.level(found[i], self.value(found[i], asked), now), found[i], part))
-        if not all(self.may(*pair) for pair in pairs):
+            child = found[i + 1] if i + 1 < len(found) and found[i + 1].parent == found[i].path else None
+            pairs.append((self.bucket(found[i], self.value(found[i], request), now), found[i], child))
+        if not all(self.has_token(*pair) for pair in pairs):
             return False
-        for level, limit, part in pairs:
-            level.tokens -= 1
-            if part and level.kept.get(part.path, 0) >= 1:
-                level.kept[part.path] -= 1
-            levels, value = self.levels[limit.path], self.value(limit, asked)
-            if value in levels:
-                levels[value] = levels.pop(value)
+        for bucket, limit, child in pairs:
+            bucket.tokens -= 1
+            if child and bucket.reserves.get(child.path, 0) >= 1:
+                bucket.reserves[child.path] -= 1
+            buckets, value = self.buckets[limit.path], self.value(limit, request)
+            if value in buckets:
+                buckets[value] = buckets.pop(value)
         return True
 
-    def decide(self, asked: QuotaRequest, now: int) -> tuple[bool, bool]:
-        """Whether it comes in, and whether a limit in shadow mode would have refused it."""
-        found = way(self.policy, asked)
-        if not self.take([limit for limit in found if not limit.shadow], asked, now):
+    def decide(self, request: QuotaRequest, now: int) -> tuple[bool, bool]:
+        """Whether it is admitted, and whether a limit in shadow mode would have refused it."""
+        found = applicable_limits(self.policy, request)
+        if not self.take([limit for limit in found if not limit.shadow], request, now):
             return False, False
-        return True, not self.take([limit for limit in found if limit.shadow], asked, now)
+        return True, not self.take([limit for limit in found if limit.shadow], request, now)
--- a/tests/test_quota_language.py
+++ b/tests/test_quota_language.py
@@ -1,4 +1,4 @@
-"""The language: what is written is read and printed back, and each fault is told with its code and place."""
+"""The policy language: reading, printing, and the code and position of each error."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from lupinlink.quota.reachability import KnownNames
 from lupinlink.quota.schedules import applies_on, easter, schedule_combinations, schedules_on
 from tests.proxy_process import SETTINGS
-from tests.quota_reference import CLASSES, TENANTS, ZONES, asks, policies
+from tests.quota_reference import CLASSES, TENANTS, ZONES, policies, requests
 
 KNOWN = KnownNames(CLASSES, TENANTS, ZONES, 2000.0, True)
 EXAMPLE = Path(__file__).resolve().parent.parent / "deploy" / "quota.policy"
@@ -35,7 +35,7 @@
 )
 expected_cases = st.builds(
     ExpectedCase,
-    asks.filter(lambda one: one.address != "none"),
+    requests.filter(lambda one: one.address != "none"),
     st.just(3),
     st.sampled_from((0, 2)),
     st.sampled_from(("", "t0")),
@@ -46,7 +46,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(policies(), schedules, st.lists(expected_cases, max_size=2), st.text('ab"\\ #{é', min_size=1))
-def test_what_is_printed_reads_as_the_same(
+def test_a_printed_policy_reads_back_the_same(
     policy: Policy, dates: list[Schedule], cases: list[ExpectedCase], version: str
 ) -> None:
     whole = Policy(version, policy.limits, tuple(dates), tuple(cases))
@@ -54,13 +54,13 @@
     assert print_policy(read_policy(print_policy(whole))[0]) == print_policy(whole)
 
 
-def test_the_example_is_good_and_prints_back() -> None:
+def test_the_example_policy_is_valid_and_round_trips() -> None:
     known = KnownNames(("look", "order"), ("acme",), ZONES, 2000.0, True)
     policy = load_policy_file(str(EXAMPLE), known)
     assert load_policy(print_policy(policy), known, "printed") == policy
 
 
-def test_seasons_units_and_what_is_left_out() -> None:
+def test_schedules_units_and_defaults() -> None:
     policy, findings = read_policy("""policy "p" schedule s: 1 week before easter
         quota f { rate 600/min during s { rate 1200/min }
             quota g { guaranteed 60/min }
@@ -73,7 +73,7 @@
     assert (policy.limits[2].by_ipv4_bits, policy.limits[2].by_ipv6_bits) == (24, 64)
 
 
-FAULTS = {  # text after the first line: code, line, column, and a word of what is said
+FAULTS = {  # text after the first line: code, line, column, and a part of the message
     "quota f { rat 3/s }": ("LL301", 2, 11, "unexpected 'rat'"),
     "quota f { rate 3/s": ("LL301", 2, 19, "unexpected end of the file"),
     "quota f { rate 3/m }": ("LL301", 2, 17, "/s, /min or /h"),
@@ -135,7 +135,7 @@
     assert found[0].finding("f.policy").startswith(f"f.policy:{line}:{column}: {code} ")
 
 
-def test_what_the_settings_do_not_have_is_found() -> None:
+def test_conflicts_with_the_settings_are_found() -> None:
     bare = KnownNames(CLASSES, TENANTS, ZONES, 0.0, False)
     text = 'policy "p"\nquota f { rate 3/s quota a { match second-try } }\nquota s { rate 3/s shadow }'
     with pytest.raises(BadPolicyError) as caught:
@@ -148,7 +148,7 @@
         load_policy_file(str(EXAMPLE) + ".gone", KNOWN)
 
 
-def test_what_is_left_by_those_before_is_reached() -> None:
+def test_quotas_partly_covered_by_earlier_ones_are_reachable() -> None:
     for parts in (
         "quota a { match class look } quota b { match zone a } quota c { }",
         "quota a { match class look match key u } quota b { match class look } quota c { match class scan }",
@@ -163,36 +163,43 @@
     dates = {1818: "03-22", 1961: "04-02", 1983: "04-03", 2000: "04-23", 2024: "03-31", 2026: "04-05",
              2038: "04-25", 2285: "03-22"}  # fmt: skip
     assert {year: easter(year).strftime("%m-%d") for year in dates} == dates
-    fortnight, advent = Schedule("e", "easter", 14), Schedule("a", "christmas", 28)
-    turn = Schedule("t", first=(12, 20), last=(1, 6))
+    before_easter, before_christmas = Schedule("e", "easter", 14), Schedule("a", "christmas", 28)
+    over_new_year = Schedule("t", first=(12, 20), last=(1, 6))
     days = [datetime.date(2026, 1, 1) + datetime.timedelta(days=i) for i in range(365)]
-    held = {one.name: [day for day in days if applies_on(one, day)] for one in (fortnight, advent, turn)}
-    assert (held["e"][0], held["e"][-1]) == (datetime.date(2026, 3, 22), datetime.date(2026, 4, 4))
-    assert (held["a"][0], held["a"][-1]) == (datetime.date(2026, 11, 27), datetime.date(2026, 12, 24))
-    assert len(held["t"]) == 6 + 12
-    assert applies_on(Schedule("long", "easter", 200), datetime.date(2026, 12, 1))  # that of the year after
-    assert schedule_combinations((fortnight, advent, turn)) == {
+    days_of = {
+        one.name: [day for day in days if applies_on(one, day)]
+        for one in (before_easter, before_christmas, over_new_year)
+    }
+    assert (days_of["e"][0], days_of["e"][-1]) == (datetime.date(2026, 3, 22), datetime.date(2026, 4, 4))
+    assert (days_of["a"][0], days_of["a"][-1]) == (datetime.date(2026, 11, 27), datetime.date(2026, 12, 24))
+    assert len(days_of["t"]) == 6 + 12
+    assert applies_on(
+        Schedule("long", "easter", 200), datetime.date(2026, 12, 1)
+    )  # before the Easter of the next year
+    assert schedule_combinations((before_easter, before_christmas, over_new_year)) == {
         frozenset(names) for names in ("", "e", "a", "t", "at")}  # fmt: skip
-    assert schedules_on((fortnight, advent, turn), datetime.date(2026, 12, 24)) == frozenset("at")
+    assert schedules_on(
+        (before_easter, before_christmas, over_new_year), datetime.date(2026, 12, 24)
+    ) == frozenset("at")
 
 
-def test_asked_fields_of_an_expected_case() -> None:
+def test_request_fields_of_an_expected_case() -> None:
     case = 'expect 2 of class look tenant acme key "a b" address ::1 second-try: admitted'
     policy, findings = read_policy(f'policy "p" {case}')
     assert findings == []
     assert policy.expected_cases[0].request == QuotaRequest("look", "acme", "", "a b", "::1", True)
 
 
-def test_check_says_what_is_wrong_with_a_policy(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_reports_policy_errors(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     config, policy = tmp_path / "config.json", tmp_path / "f.policy"
     asked = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     config.write_text(json.dumps(asked))
-    words = ["check", f"--config={config}", f"--policy={policy}"]
-    assert main(words) == 1
+    command = ["check", f"--config={config}", f"--policy={policy}"]
+    assert main(command) == 1
     assert "LL311" in capsys.readouterr().err
     policy.write_text('policy "p"\nquota f { rate 3/s match class lok }')
-    assert main(words) == 1
+    assert main(command) == 1
     assert capsys.readouterr().err.startswith(f"{policy}:2:32: LL302 ")
     policy.write_text('policy "p"\nquota f { rate 3/s match class look }\nexpect class look: admitted')
-    assert main(words) == 0
+    assert main(command) == 0
     assert "policy p, 1 quotas, 1 expected cases hold" in capsys.readouterr().out
--- a/tests/test_quota_states.py
+++ b/tests/test_quota_states.py
@@ -1,4 +1,4 @@
-"""A purse under any order of requests, refunds, new figures and time."""
+"""A token store under any order of requests, refunds, parameter changes and time steps."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from lupinlink.quota.compiled_policy import CompiledPolicy
 from lupinlink.quota.local_token_store import LocalTokenStore
 from lupinlink.quota.model import Charge, Limit, Policy, QuotaRequest
-from tests.quota_reference import asks, policies
+from tests.quota_reference import policies, requests
 
-SOON = 1e-6
+TOLERANCE = 1e-6
 
 
-class AnyOrder(RuleBasedStateMachine):
-    """What was let in over any window fits the largest figures that were ever in force."""
+class TokenStoreMachine(RuleBasedStateMachine):
+    """No window admits more than the largest rate and burst that were ever in force."""
 
     @initialize(policy=policies())
-    def begin(self, policy: Policy) -> None:
+    def start(self, policy: Policy) -> None:
         self.limits: Sequence[Limit] = policy.limits
         self.compiled, self.store, self.now = (
             CompiledPolicy(policy.limits, 1e9),
             LocalTokenStore(policy.limits),
             0.0,
         )
-        self.most = {i: (limit.rate_per_s, limit.burst) for i, limit in enumerate(policy.limits)}
-        self.came: dict[Charge, list[float]] = defaultdict(list)
+        self.max_parameters = {i: (limit.rate_per_s, limit.burst) for i, limit in enumerate(policy.limits)}
+        self.admitted: dict[Charge, list[float]] = defaultdict(list)
 
     @rule(ms=st.sampled_from((1.0, 30.0, 400.0, 5000.0)))
-    def wait(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.now += ms
 
-    @rule(asked=asks, times=st.sampled_from((1, 5, 15)), refunded=st.booleans())
-    def ask(self, asked: QuotaRequest, times: int, refunded: bool) -> None:
-        charges, _ = self.compiled.charges_for(asked)
+    @rule(request=requests, times=st.sampled_from((1, 5, 15)), refunded=st.booleans())
+    def take_tokens(self, request: QuotaRequest, times: int, refunded: bool) -> None:
+        charges, _ = self.compiled.charges_for(request)
         for _ in range(times):
             if self.store.take(charges, self.now) is not None:
                 return
@@ -46,15 +46,15 @@
                 self.store.refund(charges, self.now)
                 continue
             for charge in charges:
-                came = self.came[charge]
-                came.append(self.now)
-                rate, burst = self.most[charge.limit]
-                for number, first in enumerate(reversed(came), 1):
-                    assert number <= rate * (self.now - first) / 1000.0 + burst + SOON
+                admitted = self.admitted[charge]
+                admitted.append(self.now)
+                rate, burst = self.max_parameters[charge.limit]
+                for number, first in enumerate(reversed(admitted), 1):
+                    assert number <= rate * (self.now - first) / 1000.0 + burst + TOLERANCE
 
     @rule(factor=st.sampled_from((0.5, 1.0, 2.0)), values=st.integers(1, 3))
     def renew(self, factor: float, values: int) -> None:
-        """Another season: rates and bursts other, fewer or more values."""
+        """Another schedule: other rates, bursts and maximum numbers of values."""
         self.limits = [
             replace(
                 limit,
@@ -66,17 +66,17 @@
             for limit in self.limits
         ]
         for i, limit in enumerate(self.limits):
-            rate, burst = self.most[i]
-            self.most[i] = (max(rate, limit.rate_per_s), max(burst, limit.burst))
+            rate, burst = self.max_parameters[i]
+            self.max_parameters[i] = (max(rate, limit.rate_per_s), max(burst, limit.burst))
         self.store.renew(self.limits, self.now)
 
     @invariant()
-    def bounded(self) -> None:
+    def buckets_are_bounded(self) -> None:
         if hasattr(self, "limits"):
             assert len(self.store) <= sum(limit.max_values for limit in self.limits)
 
 
-AnyOrder.TestCase.settings = settings(
+TokenStoreMachine.TestCase.settings = settings(
     max_examples=40, stateful_step_count=25, deadline=None, derandomize=True
 )
-TestAnyOrder = AnyOrder.TestCase
+TestAnyOrder = TokenStoreMachine.TestCase
