--- a/lupinlink/interface.py
+++ b/lupinlink/interface.py
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class DiscoveryPartial:
-    """A message of discovery, on a call or a watch, has arrived in part, or no such message is left."""
+    """Whether a message of discovery, on a call or a watch, has so far arrived only in part, has changed."""
 
     partial: bool
 
--- a/lupinlink/settings/model.py
+++ b/lupinlink/settings/model.py
@@ -67,7 +67,7 @@
     must_ask_ms: float = 10000.0  # without a call or a watch for so long, a node counts as notified
     over_quota_value: float = 1.0  # value of a request over its tenant's quota, as a factor
     value_by_work: bool = False  # a class's value is per unit of work, not per request
-    cross_zone_price: float = 0.0  # of an attempt in another zone
+    cross_zone_price: float = 0.0  # cost of an attempt in another zone
     cold_share: float = 0.1  # guaranteed capacity of a server at its start, as a share of its full capacity
     cold_ms: float = 0.0  # after its start, until a server has its full capacity
     # A cold server crashes under more than this multiple of its present capacity over this time.
@@ -84,6 +84,6 @@
     # Only for the HTTP proxy: names of what the simulator numbers, and network limits.
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    dial_timeout_ms: float = 200.0
-    idle_close_ms: float = 10000.0
+    dial_timeout_ms: float = 200.0  # for connecting to a backend
+    idle_close_ms: float = 10000.0  # time limit for an idle connection to a backend
     max_open_requests: int = 20000
--- a/lupinlink/spread/key_affinity.py
+++ b/lupinlink/spread/key_affinity.py
@@ -22,7 +22,7 @@
 # its own requests when a key overloads a server.
 FEW_PROXIES_BOUND = 2.0
 MAX_COUNTED_ARRIVALS = 1024.0  # then all counts are halved
-MIN_ARRIVALS = 64.0  # shares are computed as of at least so many arrivals, since a few say little
+MIN_ARRIVALS = 64.0  # minimum divisor of a share, since a few arrivals say little
 # 2**64 over the golden ratio (Knuth, The Art of Computer Programming, 6.4).
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 
--- a/lupinlink/spread/weighted_buckets.py
+++ b/lupinlink/spread/weighted_buckets.py
@@ -131,8 +131,8 @@
         point = share * sums[-1]
         index = bisect_right(sums, point, 0, len(sums) - 1)
         bucket = self._buckets[index]
-        rest = point - (sums[index] - bucket.total)
-        return bucket.at(min(max(rest / bucket.total, 0.0), 1.0))
+        remainder = point - (sums[index] - bucket.total)
+        return bucket.at(min(max(remainder / bucket.total, 0.0), 1.0))
 
     def preferred(self, key_hash: int, preferred_count: int, count: int, chance: float) -> list[Item]:
         """Return at least ``count`` items to try for a key, or all of its bucket if there are fewer.
--- a/tests/test_recent_use.py
+++ b/tests/test_recent_use.py
@@ -29,7 +29,7 @@
 
 
 def connections(servers: int, per_second: float, seconds: float) -> int:
-    """The number of new connections of one node, whose requests take 20 ms each."""
+    """The number of new connections of one node, each of whose requests ends when the next one arrives."""
     harness = NodeHarness(Settings(classes=(SAFE,), peers=6), "")
     harness.now = 1e12
     harness.discover([Endpoint(f"s-{i}") for i in range(servers)])
@@ -43,7 +43,7 @@
     return made
 
 
-# With many servers to choose from, nearly each request would need a new connection.
+# Guards against a new connection for nearly every request, because there are so many servers to choose from.
 def test_many_servers_need_few_more_connections() -> None:
     for per_second in (10.0, 50.0, 120.0):
         usual, many = (connections(servers, per_second, 20.0) for servers in (USUAL, MANY))
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -19,7 +19,7 @@
 from lupinlink.spread.key_affinity import MAX_COUNTED_ARRIVALS, MAX_KEY_SHARE, KeyPopularity
 from tests.proxy_process import ROOT
 
-PROXIES, SERVERS, KEYS = 60, 200, 500  # 60 proxies show the same as 200
+PROXIES, SERVERS, KEYS = 60, 200, 500  # 60 of 200 proxies are enough to show the effects
 MIN_CANDIDATES = 8
 SALTS = [crc32(f"s-{i}".encode()) for i in range(240)]
 EQUAL_WEIGHTS = [1.0] * SERVERS
@@ -82,9 +82,8 @@
     usual = Counter(
         len(set.union(*(seen.get(str(key), set()) for seen in first_servers))) for key in range(300, KEYS)
     )
-    assert (
-        sum(n * count for n, count in usual.items()) / usual.total() < 5.0
-    )  # of 200 servers, for all proxies together
+    # Of 200 servers, for all proxies together.
+    assert sum(n * count for n, count in usual.items()) / usual.total() < 5.0
 
 
 def test_proxies_agree_on_the_servers_of_a_popular_key() -> None:
