--- a/lupinlink/limits/capacity_bound.py
+++ b/lupinlink/limits/capacity_bound.py
@@ -14,7 +14,7 @@
 SHARE_GAIN = 0.5  # weight of one period in the admitted share: reports cover the last second, not the period
 MIN_LOST_SHARE = 0.2  # smaller losses count as single servers that come and go
 STALE_PERIODS = 1  # after a loss: reports of these periods still describe the time before it
-# Extra work for requests with keys that are new to the remaining servers, as a share, if all servers were lost.
+# Share of extra work, if all servers were lost, for keys that are new to the remaining servers.
 COLD_KEY_OVERHEAD = 0.5
 MIN_SHARE = 0.1  # lower bound of the admitted share, as in the admission control itself
 
