--- a/lupinlink/commands/check.py
+++ b/lupinlink/commands/check.py
@@ -21,7 +21,7 @@
 
 from docopt import docopt
 
-from lupinlink.commands.told import told_off
+from lupinlink.commands.input_errors import report_input_error
 from lupinlink.settings import Settings, load_config
 
 
@@ -39,7 +39,7 @@
         if known.rejected:
             raise ListError(f"known: {known.rejected} entries can't be read, the first: {known.fault}")
     except ValueError as exc:
-        return told_off(exc)
+        return report_input_error(exc)
     if args["--policy"] and not _policy_is_good(args["--policy"], config.settings):
         return 1
     host, port = config.listen
--- a/lupinlink/commands/told.py
+++ b/lupinlink/commands/input_errors.py
@@ -8,7 +8,7 @@
 from lupinlink.settings import SettingsError
 
 
-def told_off(exc: ValueError) -> int:
+def report_input_error(exc: ValueError) -> int:
     """One line on standard error, with its code and what to do where it has a type of its own; the exit code:
     2 for settings that are bad, 1 for anything else."""
     text = exc.line() if isinstance(exc, LupinError) else " ".join(str(exc).split())
--- a/lupinlink/commands/lab.py
+++ b/lupinlink/commands/lab.py
@@ -97,15 +97,15 @@
         if args["check"]:
             return desk.check(args["FILE"], args["--json"])
         if args["run"]:
-            sets = shorts(args)
+            sets = with_short_options(args)
             whole = whole_number(args["--seed"], "--seed")
             return desk.run(
-                args["SCENARIO"], args["--drive"], whole, args["--out"], pairs(sets), args["--json"]
+                args["SCENARIO"], args["--drive"], whole, args["--out"], key_values(sets), args["--json"]
             )
         if args["sweep"]:
             seeds = whole_number(args["--seeds"], "--seeds", 1)
-            key, steps = spread(args["--vary"])
-            given = pairs(args["--set"])
+            key, steps = varied_values(args["--vary"])
+            given = key_values(args["--set"])
             return desk.sweep(args["SCENARIO"], key, steps, args["--out"], seeds, args["--drive"], given)
         if args["compare"]:
             return desk.compare(args["DIR"], args["--json"])
@@ -128,7 +128,7 @@
 
             return fleet_desk.fleet(
                 args["SCENARIO"], args["--program"], whole_number(args["--seed"], "--seed"), args["--out"],
-                args["--logs"], pairs(shorts(args)), args["--fault"] or "", args["--json"],
+                args["--logs"], key_values(with_short_options(args)), args["--fault"] or "", args["--json"],
             )  # fmt: skip
         if args["herd"]:
             return desk.herd(
@@ -146,15 +146,15 @@
             names = tuple(args["--scenarios"].split(",")) if args["--scenarios"] else ()
             seeds = whole_number(args["--seeds"], "--seeds", 1)
             jobs = whole_number(args["--jobs"], "--jobs", 1)
-            against = pairs(args["--against"].split(",")) if args["--against"] else {}
-            return desk.variants(names, seeds, jobs, against, pairs(args["--set"]))
+            against = key_values(args["--against"].split(",")) if args["--against"] else {}
+            return desk.variants(names, seeds, jobs, against, key_values(args["--set"]))
         return desk.report(args["DIR"][0])
     except desk.WrongError as exc:
         print("\n".join(f"lupinlink: {line}" for line in str(exc).splitlines()), file=sys.stderr)
         return exc.code
 
 
-def shorts(args: dict[str, Any]) -> list[str]:
+def with_short_options(args: dict[str, Any]) -> list[str]:
     """What is set, the short forms among it."""
     found = list(args["--set"])
     for option, key in (("--proxies", "proxies.count"), ("--servers", "farm.servers")):
@@ -185,7 +185,7 @@
     return found
 
 
-def pairs(texts: list[str]) -> dict[str, Any]:
+def key_values(texts: list[str]) -> dict[str, Any]:
     """KEY=VALUE off the command line; a value is read as JSON where it is that, else as text."""
     from lupinlink.lab.desk import WrongError
 
@@ -201,7 +201,7 @@
     return found
 
 
-def spread(text: str) -> tuple[str, list[float]]:
+def varied_values(text: str) -> tuple[str, list[float]]:
     """KEY=A:B:STEP."""
     from lupinlink.lab.desk import WrongError
 
--- a/lupinlink/commands/serve.py
+++ b/lupinlink/commands/serve.py
@@ -25,7 +25,7 @@
 
 from docopt import docopt
 
-from lupinlink.commands.told import told_off
+from lupinlink.commands.input_errors import report_input_error
 from lupinlink.settings import Config, load_config
 
 if TYPE_CHECKING:
@@ -43,13 +43,13 @@
         load = partial(load_config, os.environ, args["--config"], reload=True)
         if not file:
             return serve(config, load)
-        found = fleet_side(file, config)
+        found = load_fleet_extension(file, config)
         return serve(config, load, found) if found is not None else 2
     except ValueError as exc:
-        return told_off(exc)
+        return report_input_error(exc)
 
 
-def fleet_side(file: str, config: Config) -> FleetExtension | None:
+def load_fleet_extension(file: str, config: Config) -> FleetExtension | None:
     """What a fleet file adds; None after one line on standard error, if it cannot be used.
 
     Imported only here: a plain serve must load nothing of it.
--- a/lupinlink/config/errors.py
+++ b/lupinlink/config/errors.py
@@ -21,7 +21,7 @@
     remedy = "mend the key; deploy/fleet.toml has every one with unit, range and default"
 
 
-class FleetFileUnreadError(ConfigError):
+class FleetFileUnreadableError(ConfigError):
     """It is not there, or no TOML."""
 
     code = "LL502"
@@ -37,7 +37,7 @@
     remedy = "install the extra: pip install lupinlink[fleet]"
 
 
-class FleetPartError(ConfigError):
+class FleetComponentError(ConfigError):
     """The program has no such part."""
 
     code = "LL504"
--- a/lupinlink/config/files.py
+++ b/lupinlink/config/files.py
@@ -5,16 +5,16 @@
 import tomllib
 from pathlib import Path
 
-from lupinlink.config.errors import FleetFileUnreadError
+from lupinlink.config.errors import FleetFileUnreadableError
 from lupinlink.config.fleet import FleetFile, read_fleet
 
 
 def load_fleet(path: str) -> FleetFile:
-    """Read and check a fleet file. Raises FleetFileUnreadError, and what ``read_fleet`` raises."""
+    """Read and check a fleet file. Raises FleetFileUnreadableError, and what ``read_fleet`` raises."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as exc:
-        raise FleetFileUnreadError(f"{path}: {(exc.strerror or str(exc)).lower()}") from exc
+        raise FleetFileUnreadableError(f"{path}: {(exc.strerror or str(exc)).lower()}") from exc
     except ValueError as exc:
-        raise FleetFileUnreadError(f"{path}: {exc}") from exc
+        raise FleetFileUnreadableError(f"{path}: {exc}") from exc
     return read_fleet(raw, path, str(Path(path).resolve().parent))
--- a/lupinlink/config/fleet.py
+++ b/lupinlink/config/fleet.py
@@ -13,11 +13,11 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lupinlink.config.errors import FleetFileError, FleetPartError
+from lupinlink.config.errors import FleetComponentError, FleetFileError
 from lupinlink.config.explain import explain
 from lupinlink.errors import LupinError
 
-PARTS = {  # by table: where the Struct of its settings is
+COMPONENTS = {  # by table: where the Struct of its settings is
     "release": "lupinlink.release.settings:ReleaseSettings",
     "quota": "lupinlink.quota.settings:QuotaSettings",
     "migration": "lupinlink.migration.settings:MigrationSettings",
@@ -40,15 +40,15 @@
     wait_s: Annotated[float, Meta(ge=1.0, le=600.0)] = 10.0  # of one while nothing changes
 
     @property
-    def place(self) -> tuple[str, int]:
+    def host_and_port(self) -> tuple[str, int]:
         """Host and port of ``address``."""
         host, _, port = self.address.rpartition(":")
         return host, int(port)
 
     def check(self) -> None:
         """What no bound of one key tells. Raises FleetFileError, its text beginning with the key."""
-        if not 0 < self.place[1] <= 65535:
-            raise FleetFileError(f"address: port {self.place[1]}; allowed: 1 to 65535")
+        if not 0 < self.host_and_port[1] <= 65535:
+            raise FleetFileError(f"address: port {self.host_and_port[1]}; allowed: 1 to 65535")
         if self.call_ms > self.lease_s * 1000.0 / 3.0:
             raise FleetFileError(
                 f"call_ms: {self.call_ms:g} is over a third of lease_s: few slow calls would lose the lease; "
@@ -76,26 +76,26 @@
 def read_fleet(raw: Mapping[str, Any], name: str, folder: str = "") -> FleetFile:
     """Check what a fleet file holds; ``name`` is the file's, for the one line that tells what is wrong.
 
-    Raises FleetFileError, FleetPartError, and what a part's own settings raise.
+    Raises FleetFileError, FleetComponentError, and what a part's own settings raise.
     """
-    unknown = raw.keys() - PARTS.keys() - {"agreement", "member"}
+    unknown = raw.keys() - COMPONENTS.keys() - {"agreement", "member"}
     if unknown:
-        tables = ", ".join(["agreement", "member", *PARTS])
+        tables = ", ".join(["agreement", "member", *COMPONENTS])
         raise FleetFileError(f"{name}: {min(unknown)}: there is no such table; allowed: {tables}")
     return FleetFile(
         _table(raw, name, "agreement", AgreementSettings),
         _table(raw, name, "member", MemberSettings),
-        {table: _table(raw, name, table, _settings(name, table)) for table in PARTS if table in raw},
+        {table: _table(raw, name, table, _settings(name, table)) for table in COMPONENTS if table in raw},
         folder,
     )
 
 
 def _settings(name: str, table: str) -> Any:
-    module, _, kind = PARTS[table].partition(":")
+    module, _, kind = COMPONENTS[table].partition(":")
     try:
         return getattr(import_module(module), kind)
     except ImportError as exc:
-        raise FleetPartError(f"{name}: {table}: {exc}") from exc
+        raise FleetComponentError(f"{name}: {table}: {exc}") from exc
 
 
 def _table(raw: Mapping[str, Any], name: str, table: str, kind: Any) -> Any:
--- a/lupinlink/coordination/watching.py
+++ b/lupinlink/coordination/blocking_query.py
@@ -12,9 +12,9 @@
 from lupinlink.coordination.backoff import Backoff
 from lupinlink.coordination.contract import View
 from lupinlink.coordination.errors import CoordinationError, RestoredError
-from lupinlink.coordination.history import follow
-from lupinlink.coordination.pace import Pace, Pacing
-from lupinlink.coordination.wire import Found, Wire
+from lupinlink.coordination.rate_limit import CallRateLimiter, CallTiming
+from lupinlink.coordination.restore_detection import next_view
+from lupinlink.coordination.transport import ReadResult, Transport
 from lupinlink.errors import LupinError
 
 log = logging.getLogger(__name__)
@@ -23,23 +23,23 @@
 SPREAD_MS = 100.0  # a change wakes every process at once; they ask again within this
 
 
-class StandingQuestion:
+class BlockingQuery:
     """A ``contract.Watch``. What fails in a listener is logged and ends nothing."""
 
     def __init__(
         self,
-        wire: Wire,
+        transport: Transport,
         clock: Clock,
-        pace: Pace,
+        pace: CallRateLimiter,
         draw: Callable[[], float],
         prefix: str,
-        pacing: Pacing,
+        pacing: CallTiming,
         seen: Callable[[View], None],
         silent: Callable[[LupinError], None],
     ) -> None:
-        self._wire, self._clock, self._pace, self._draw = wire, clock, pace, draw
+        self._transport, self._clock, self._pace, self._draw = transport, clock, pace, draw
         self._prefix, self._wait_ms, self._seen, self._silent = prefix, pacing.wait_ms, seen, silent
-        self._backoff = Backoff(pacing.again_ms, MOST_AGAIN_MS, draw)
+        self._backoff = Backoff(pacing.retry_ms, MOST_AGAIN_MS, draw)
         self._told: View | None = None
         self._index = 0  # as the service gave it
         self._stopped = False
@@ -57,17 +57,17 @@
         asked_ms = self._clock.now()
         # Danger: questions that one change has woken together would come together ever after.
         wait_ms = self._wait_ms * (1.0 - SHORTER * self._draw())
-        found = self._wire.read(self._prefix, self._index, wait_ms)
+        found = self._transport.read(self._prefix, self._index, wait_ms)
         found.addCallbacks(self._answered, self._failed, callbackArgs=(asked_ms,))
 
-    def _answered(self, found: Found, asked_ms: float) -> None:
+    def _answered(self, found: ReadResult, asked_ms: float) -> None:
         if self._stopped:
             return
         self._backoff.reset()
         # Danger: the highest index so far would be the wrong one; after a restore nothing comes up to it.
         self._index = found.index
         before = self._told
-        self._told = follow(before, View(self._prefix, found.records, found.index, asked_ms))
+        self._told = next_view(before, View(self._prefix, found.records, found.index, asked_ms))
         if before is not None and self._told.index < before.index:
             why = RestoredError(f"below {self._prefix}").line()
             log.warning("restored", extra={"kv": {"why": why}})
--- a/lupinlink/coordination/steps.py
+++ b/lupinlink/coordination/commit_validation.py
@@ -6,19 +6,19 @@
 
 from lupinlink.coordination.contract import (
     ABSENT,
-    MOST_STEPS,
-    MOST_VALUE,
+    MAX_STEPS,
+    MAX_VALUE_BYTES,
+    CheckHolder,
     Delete,
-    Drop,
-    Held,
+    Lock,
     Put,
     Step,
-    Take,
+    Unlock,
 )
-from lupinlink.coordination.errors import ConflictError, TooMuchError
+from lupinlink.coordination.errors import ConflictError, InvalidRequestError
 
 
-def cost(step: Step) -> int:
+def operation_count(step: Step) -> int:
     """Operations of the service that a step takes: one, and two for a Delete at a revision.
 
     The service's own delete at a revision says yes when the record has long gone; the step must not, or two
@@ -27,21 +27,21 @@
     return 2 if isinstance(step, Delete) and step.revision not in (None, ABSENT) else 1
 
 
-def weigh(steps: Sequence[Step]) -> None:
-    """Raise TooMuchError for a commit that is empty, too long, or names a key or value that cannot be.
+def validate_commit(steps: Sequence[Step]) -> None:
+    """Raise InvalidRequestError for a commit that is empty, too long, or names a key or value that cannot be.
 
     Raises ConflictError for a step of a lost lease, whose name is empty. Danger: to the service "held by no
     session" is a condition like any other, and a record that nobody holds would meet it.
     """
     if not steps:
-        raise TooMuchError("a commit without steps")
-    operations = sum(map(cost, steps))
-    if operations > MOST_STEPS:
-        raise TooMuchError(f"a commit of {operations} operations; {MOST_STEPS} is the most")
+        raise InvalidRequestError("a commit without steps")
+    operations = sum(map(operation_count, steps))
+    if operations > MAX_STEPS:
+        raise InvalidRequestError(f"a commit of {operations} operations; {MAX_STEPS} is the most")
     for step in steps:
         if not step.key or step.key.startswith("/"):
-            raise TooMuchError(f"{step.key!r} cannot be a record's key")
-        if isinstance(step, Put | Take | Drop) and len(step.value) > MOST_VALUE:
-            raise TooMuchError(f"{step.key}: {len(step.value)} bytes; {MOST_VALUE} is the most")
-        if isinstance(step, Take | Held | Drop) and not step.lease:
+            raise InvalidRequestError(f"{step.key!r} cannot be a record's key")
+        if isinstance(step, Put | Lock | Unlock) and len(step.value) > MAX_VALUE_BYTES:
+            raise InvalidRequestError(f"{step.key}: {len(step.value)} bytes; {MAX_VALUE_BYTES} is the most")
+        if isinstance(step, Lock | CheckHolder | Unlock) and not step.lease:
             raise ConflictError(f"{step.key}: the lease was lost")
--- a/lupinlink/coordination/part.py
+++ b/lupinlink/coordination/component.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class AdminRequest:
     """An operator's call at the door."""
 
     query: Mapping[str, str] = field(default_factory=dict)
@@ -31,20 +31,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AdminResponse:
     """What the operator reads: an HTTP status (2xx yes, 4xx or 5xx no) and a text that ends a line."""
 
     status: int
     text: str
 
 
-DoorCall = Callable[[Ask], Answer]
-DoorCalls = Mapping[str, Mapping[str, DoorCall]]
+AdminHandler = Callable[[AdminRequest], AdminResponse]
+AdminRoutes = Mapping[str, Mapping[str, AdminHandler]]
 """By path (``/control/release/halt``), then by method (``PUT``). A call answers at once, from what is known
 here; what it asks of the fleet goes on after the answer, and the state call tells how far it is."""
 
 
-class Part(Protocol):
+class Component(Protocol):
     """One agent."""
 
     def start(self) -> None:
@@ -55,6 +55,6 @@
         """End; nothing is called after it. What is held in the service may be left to its lease."""
         ...
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """What it adds to the operators' door."""
         ...
--- a/lupinlink/coordination/consul.py
+++ b/lupinlink/coordination/consul.py
@@ -21,7 +21,8 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from lupinlink.coordination import consul_form as form
+from lupinlink.coordination import consul_messages as messages
+from lupinlink.coordination.commit_validation import validate_commit
 from lupinlink.coordination.contract import Record, Step
 from lupinlink.coordination.errors import (
     CoordinationError,
@@ -29,8 +30,7 @@
     UncertainError,
     UnreachableError,
 )
-from lupinlink.coordination.steps import weigh
-from lupinlink.coordination.wire import Found
+from lupinlink.coordination.transport import ReadResult
 
 T = TypeVar("T")
 _not_sent: Any = web.RequestNotSent  # type: ignore[attr-defined]
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ConsulSettings:
     """Where the service is and what it is asked with."""
 
     host: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ConsulResponse:
     """What came back."""
 
     status: int
@@ -65,12 +65,14 @@
 
 @implementer(IAgentEndpointFactory)
 class _Endpoints:
-    def __init__(self, reactor: Any, place: Place) -> None:
-        self._reactor, self._place = reactor, place
+    def __init__(self, reactor: Any, settings: ConsulSettings) -> None:
+        self._reactor, self._settings = reactor, settings
 
     def endpointForURI(self, uri: web.URI) -> TCP4ClientEndpoint:  # noqa: N802
-        place = self._place
-        return TCP4ClientEndpoint(self._reactor, place.host, place.port, timeout=place.call_ms / 2000.0)
+        settings = self._settings
+        return TCP4ClientEndpoint(
+            self._reactor, settings.host, settings.port, timeout=settings.call_ms / 2000.0
+        )
 
 
 class _Body(Protocol):
@@ -100,58 +102,60 @@
             self.transport.abortConnection()
 
 
-class ConsulWire:
+class ConsulTransport:
     """One process's way to the service: a ``wire.Wire``."""
 
-    def __init__(self, reactor: Any, place: Place) -> None:
-        self._reactor, self._place = reactor, place
+    def __init__(self, reactor: Any, settings: ConsulSettings) -> None:
+        self._reactor, self._settings = reactor, settings
         self._pool: Any = web.HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
         self._pool.maxPersistentPerHost = MOST_OPEN
         self._pool.cachedConnectionTimeout = KEPT_S
         # Danger: repeats of its own would not be counted, nor spread in time.
         self._pool.retryAutomatically = False
         agent: Any = web.Agent
-        self._http = HTTPClient(agent.usingEndpointFactory(reactor, _Endpoints(reactor, place), self._pool))
-        self._headers = Headers({"X-Consul-Token": [place.token]} if place.token else {})
+        self._http = HTTPClient(
+            agent.usingEndpointFactory(reactor, _Endpoints(reactor, settings), self._pool)
+        )
+        self._headers = Headers({"X-Consul-Token": [settings.token]} if settings.token else {})
 
     def stop(self) -> Deferred[None]:
         """Close the connections that nobody uses."""
         closed: Deferred[None] = self._pool.closeCachedConnections()
         return closed
 
-    def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[Found]:
+    def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[ReadResult]:
         query = {"recurse": "", "consistent": ""}
         if index:
             query |= {"index": str(index), "wait": f"{max(1, round(wait_ms))}ms"}
         wait_s = wait_ms * (1.0 + JITTER) / 1000.0 if index else 0.0
         return self._bounded(self._read(prefix, query), wait_s, writes=False)
 
-    async def _read(self, prefix: str, query: dict[str, str]) -> Found:
-        root = self._place.prefix
-        answer = await self._ask("GET", form.kv_path(root + prefix), query=query)
+    async def _read(self, prefix: str, query: dict[str, str]) -> ReadResult:
+        root = self._settings.prefix
+        answer = await self._ask("GET", messages.kv_path(root + prefix), query=query)
         if answer.status == 404:
-            return Found({}, max(1, answer.index))
+            return ReadResult({}, max(1, answer.index))
         if answer.status != 200:
-            raise form.refusal(answer.status, answer.body, writes=False)
-        return Found(form.records(root, answer.body), max(1, answer.index))
+            raise messages.refusal(answer.status, answer.body, writes=False)
+        return ReadResult(messages.records(root, answer.body), max(1, answer.index))
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
         return self._bounded(self._commit(steps), 0.0, writes=True)
 
     async def _commit(self, steps: Sequence[Step]) -> dict[str, Record]:
-        weigh(steps)
-        root = self._place.prefix
-        answer = await self._ask("PUT", "/v1/txn", form.operations(root, steps))
+        validate_commit(steps)
+        root = self._settings.prefix
+        answer = await self._ask("PUT", "/v1/txn", messages.operations(root, steps))
         if answer.status != 200:
-            raise form.refusal(answer.status, answer.body, writes=True)
-        return form.written(root, steps, answer.body)
+            raise messages.refusal(answer.status, answer.body, writes=True)
+        return messages.written(root, steps, answer.body)
 
     def open(self, ttl_ms: float) -> Deferred[str]:
         return self._bounded(self._open(ttl_ms), 0.0, writes=False)
 
     async def _open(self, ttl_ms: float) -> str:
-        body = form.session(self._place.name, ttl_ms, self._place.lock_delay_ms)
-        return form.opened(await self._session("create", body))
+        body = messages.session(self._settings.name, ttl_ms, self._settings.lock_delay_ms)
+        return messages.opened(await self._session("create", body))
 
     def renew(self, lease: str) -> Deferred[float]:
         return self._bounded(self._renew(lease), 0.0, writes=False)
@@ -161,8 +165,8 @@
         if answer.status == 404:
             raise LeaseLostError(f"the service knows no lease {lease}")
         if answer.status != 200:
-            raise form.refusal(answer.status, answer.body, writes=False)
-        return form.renewed(answer.body)
+            raise messages.refusal(answer.status, answer.body, writes=False)
+        return messages.renewed(answer.body)
 
     def close(self, lease: str) -> Deferred[None]:
         return self._bounded(self._close(lease), 0.0, writes=False)
@@ -173,21 +177,21 @@
     async def _session(self, call: str, body: bytes) -> bytes:
         answer = await self._ask("PUT", f"/v1/session/{call}", body)
         if answer.status != 200:
-            raise form.refusal(answer.status, answer.body, writes=False)
+            raise messages.refusal(answer.status, answer.body, writes=False)
         return answer.body
 
     async def _ask(
         self, method: str, path: str, data: bytes | None = None, query: dict[str, str] | None = None
-    ) -> Answer:
+    ) -> ConsulResponse:
         response: Any = await self._http.request(
-            method, f"http://{self._place.host}:{self._place.port}{path}", params=query, data=data,
+            method, f"http://{self._settings.host}:{self._settings.port}{path}", params=query, data=data,
             headers=self._headers, allow_redirects=False, unbuffered=True, reactor=self._reactor,
         )  # fmt: skip
         body = _Body()
         response.deliverBody(body)
         told = (response.headers.getRawHeaders("X-Consul-Index") or ["0"])[0]
         whole = await body.whole
-        return Answer(response.code, whole, int(told) if told.isdecimal() else 0)
+        return ConsulResponse(response.code, whole, int(told) if told.isdecimal() else 0)
 
     def _bounded(self, call: Coroutine[Any, Any, T], wait_s: float, writes: bool) -> Deferred[T]:
         def failed(failure: Failure) -> T:
@@ -200,5 +204,5 @@
             raise UncertainError(text)
 
         done = Deferred.fromCoroutine(call)
-        done.addTimeout(wait_s + self._place.call_ms / 1000.0, self._reactor)
+        done.addTimeout(wait_s + self._settings.call_ms / 1000.0, self._reactor)
         return done.addErrback(failed)
--- a/lupinlink/coordination/consul_form.py
+++ b/lupinlink/coordination/consul_messages.py
@@ -11,13 +11,23 @@
 
 import msgspec
 
-from lupinlink.coordination.contract import ABSENT, Delete, Drop, Guarded, Held, Put, Record, Step, Take
+from lupinlink.coordination.contract import (
+    ABSENT,
+    CheckHolder,
+    CheckRevision,
+    Delete,
+    Lock,
+    Put,
+    Record,
+    Step,
+    Unlock,
+)
 from lupinlink.coordination.errors import (
     BusyError,
     ConflictError,
     CoordinationError,
     DeniedError,
-    TooMuchError,
+    InvalidRequestError,
     UncertainError,
     UnreachableError,
 )
@@ -101,9 +111,9 @@
     for step in steps:
         key = root + step.key
         match step:
-            case Guarded(_, revision):
+            case CheckRevision(_, revision):
                 sent.append(_check(key, revision))
-            case Held(_, lease):
+            case CheckHolder(_, lease):
                 sent.append(Operation("check-session", key, session=lease))
             case Delete(_, None):
                 sent.append(Operation("delete", key))
@@ -116,9 +126,9 @@
                 sent.append(Operation("set", key, value))
             case Put(_, value, revision):
                 sent.append(Operation("cas", key, value, index=revision))
-            case Take(_, value, lease):
+            case Lock(_, value, lease):
                 sent.append(Operation("lock", key, value, session=lease))
-            case Drop(_, value, lease):
+            case Unlock(_, value, lease):
                 sent.append(Operation("unlock", key, value, session=lease))
     return msgspec.json.encode([Wrapped(operation) for operation in sent])
 
@@ -155,7 +165,7 @@
     """The records that a transaction wrote; the answer holds no values. Raises msgspec.DecodeError."""
     values: dict[str, bytes] = {}
     for step in steps:
-        if isinstance(step, Put | Take | Drop):
+        if isinstance(step, Put | Lock | Unlock):
             values[step.key] = step.value
         elif isinstance(step, Delete):
             values.pop(step.key, None)
@@ -199,7 +209,7 @@
     if status in (401, 403):
         return DeniedError(f"{status} {text}")
     if 400 <= status < 500:
-        return TooMuchError(f"{status} {text}")
+        return InvalidRequestError(f"{status} {text}")
     if not writes or any(known in text for known in NOTHING_DONE):
         return UnreachableError(f"{status} {text}")
     return UncertainError(f"{status} {text}")
--- a/lupinlink/coordination/contract.py
+++ b/lupinlink/coordination/contract.py
@@ -22,8 +22,8 @@
 
 from lupinlink.errors import LupinError
 
-MOST_STEPS = 64  # of one commit: the published bound of Consul's transactions
-MOST_VALUE = 512 * 1024  # bytes of one record: the published bound of Consul's values
+MAX_STEPS = 64  # of one commit: the published bound of Consul's transactions
+MAX_VALUE_BYTES = 512 * 1024  # bytes of one record: the published bound of Consul's values
 ABSENT = 0  # as a revision: no such record
 
 
@@ -35,7 +35,7 @@
     value: bytes
     revision: int  # of its last change (a write of what stands there is none); rises in one history
     lease: str = ""  # the lease that holds it, or empty
-    taken: int = 0  # how often it was taken by a lease since it was created
+    lock_count: int = 0  # how often it was taken by a lease since it was created
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Guarded:
+class CheckRevision:
     """Writes nothing; fails the commit unless the record stands at ``revision`` (``ABSENT``: is absent)."""
 
     key: str
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class Lock:
     """Write a record and hold it by a lease; fails while another lease holds it, or the lease has ended."""
 
     key: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class CheckHolder:
     """Nothing is written; the commit fails unless that lease holds the record."""
 
     key: str
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class Unlock:
     """Write a record and hold it no longer; fails unless that lease holds it."""
 
     key: str
@@ -89,7 +89,7 @@
     lease: str
 
 
-Step = Put | Delete | Guarded | Take | Held | Drop
+Step = Put | Delete | CheckRevision | Lock | CheckHolder | Unlock
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +139,8 @@
         """All steps or none, each seeing those before it; gives the records written, by key.
 
         Fails: ConflictError (a step did not fit), UnreachableError or BusyError: nothing happened;
-        UncertainError: it may have happened, read and look; TooMuchError: asked wrongly, nothing happened.
+        UncertainError: it may have happened, read the records to find out; InvalidRequestError: the commit is
+        malformed, nothing happened.
         """
         ...
 
--- a/lupinlink/coordination/errors.py
+++ b/lupinlink/coordination/errors.py
@@ -53,7 +53,7 @@
     remedy = "nothing if another took over; else look for a process that stands still or a cut to the service"
 
 
-class TooMuchError(CoordinationError):
+class InvalidRequestError(CoordinationError):
     """The program asked for more than the service takes."""
 
     code = "LL106"
--- a/lupinlink/coordination/fence.py
+++ b/lupinlink/coordination/fence.py
@@ -13,27 +13,27 @@
 import msgspec
 
 
-class Mark(msgspec.Struct, frozen=True):
+class FenceRecord(msgspec.Struct, frozen=True):
     """The value of a record that is held under a fence."""
 
     fence: int = 0
     holder: str = ""  # the process's name; empty when it was let go on purpose
 
 
-def read_mark(value: bytes) -> Mark:
+def decode_fence(value: bytes) -> FenceRecord:
     """The mark in a record; one that cannot be read counts as none, the fence then comes from ``Seen``."""
     try:
-        return msgspec.json.decode(value, type=Mark)
+        return msgspec.json.decode(value, type=FenceRecord)
     except msgspec.DecodeError:
-        return Mark()
+        return FenceRecord()
 
 
-def write_mark(mark: Mark) -> bytes:
+def encode_fence(mark: FenceRecord) -> bytes:
     """The record's value."""
     return msgspec.json.encode(mark)
 
 
-class Seen:
+class HighestFence:
     """The highest fence that this process has met, for one record."""
 
     def __init__(self, highest: int = 0) -> None:
--- a/lupinlink/coordination/ledger.py
+++ b/lupinlink/coordination/kv_store.py
@@ -11,13 +11,23 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from lupinlink.coordination.contract import ABSENT, Delete, Drop, Guarded, Held, Put, Record, Step, Take
+from lupinlink.coordination.commit_validation import validate_commit
+from lupinlink.coordination.contract import (
+    ABSENT,
+    CheckHolder,
+    CheckRevision,
+    Delete,
+    Lock,
+    Put,
+    Record,
+    Step,
+    Unlock,
+)
 from lupinlink.coordination.errors import ConflictError, LeaseLostError
-from lupinlink.coordination.steps import weigh
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LeaseState:
     """A lease in the service."""
 
     ttl_ms: float
@@ -25,22 +35,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
+class StoreSnapshot:
     """A state to go back to."""
 
     index: int
     records: dict[str, Record] = field(default_factory=dict)
-    grants: dict[str, Grant] = field(default_factory=dict)
+    grants: dict[str, LeaseState] = field(default_factory=dict)
 
 
-class Ledger:
+class KvStore:
     """Records and leases; each call may come at any time, times must not fall."""
 
     def __init__(self, lock_delay_ms: float = 1000.0, late: float = 1.0) -> None:
         """``late``: in [1, 2], how many times its time a lease lives without renewal."""
         self.index = 1
         self.records: dict[str, Record] = {}
-        self.grants: dict[str, Grant] = {}
+        self.grants: dict[str, LeaseState] = {}
         self._lock_delay_ms, self._late = lock_delay_ms, late
         self._delayed: dict[str, float] = {}  # until when a record cannot be taken
         self._gone: dict[str, int] = {}  # the revision at which a record was deleted
@@ -50,7 +60,7 @@
         """A new lease; its name is never used again, not even after a restore."""
         self._opened += 1
         name = f"lease-{self._opened}"
-        self.grants[name] = Grant(ttl_ms, now + ttl_ms * self._late)
+        self.grants[name] = LeaseState(ttl_ms, now + ttl_ms * self._late)
         return name
 
     def renew(self, name: str, now: float) -> float:
@@ -90,8 +100,8 @@
         return found, max([record.revision for record in found.values()] + gone, default=1)
 
     def commit(self, steps: Sequence[Step], now: float) -> dict[str, Record]:
-        """All steps or none, each seeing those before it. Raises ConflictError, TooMuchError."""
-        weigh(steps)
+        """All steps or none, each seeing those before it. Raises ConflictError, InvalidRequestError."""
+        validate_commit(steps)
         self.expire(now)
         changed: dict[str, Record | None] = {}
         written: dict[str, Record] = {}
@@ -102,7 +112,7 @@
                 changed[step.key] = after
             if after is None:
                 written.pop(step.key, None)
-            elif isinstance(step, Put | Take | Drop):
+            elif isinstance(step, Put | Lock | Unlock):
                 written[step.key] = after
         if changed:
             self.index += 1
@@ -119,10 +129,10 @@
         revision = before.revision if before else ABSENT
         holder = before.lease if before else ""
         match step:
-            case Guarded(key, wanted):
+            case CheckRevision(key, wanted):
                 self._need(revision == wanted, f"{key} stands at {revision}, not {wanted}")
                 return before
-            case Held(key, lease):
+            case CheckHolder(key, lease):
                 self._need(holder == lease != "", f"{key} is not held by {lease}")
                 return before
             case Delete(key, wanted):
@@ -131,12 +141,12 @@
             case Put(key, value, wanted):
                 self._need(wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}")
                 return self._written(key, value, before, holder)
-            case Take(key, value, lease):
+            case Lock(key, value, lease):
                 self._need(lease in self.grants, f"there is no lease {lease}")
                 self._need(holder in ("", lease), f"{key} is held by another")
                 self._need(holder == lease or self._delayed.get(key, now) <= now, f"{key}: lock-delay")
                 return self._written(key, value, before, lease)
-            case Drop(key, value, lease):
+            case Unlock(key, value, lease):
                 self._need(holder == lease != "", f"{key} is not held by {lease}")
                 return self._written(key, value, before, "")
 
@@ -145,7 +155,7 @@
             return Record(key, value, self.index + 1, lease, 1 if lease else 0)
         if before.value == value and before.lease == lease:
             return before  # it changes nothing, so the revision stays
-        taken = before.taken + (lease not in ("", before.lease))
+        taken = before.lock_count + (lease not in ("", before.lease))
         return Record(key, value, self.index + 1, lease, taken)
 
     @staticmethod
@@ -153,11 +163,11 @@
         if not holds:
             raise ConflictError(what)
 
-    def save(self) -> Saved:
+    def save(self) -> StoreSnapshot:
         """This state, to go back to."""
-        return Saved(self.index, dict(self.records), dict(self.grants))
+        return StoreSnapshot(self.index, dict(self.records), dict(self.grants))
 
-    def restore(self, saved: Saved, now: float) -> None:
+    def restore(self, saved: StoreSnapshot, now: float) -> None:
         """Go back: records, leases (their time starts anew) and the index, which then names other changes."""
         self.index, self.records = saved.index, dict(saved.records)
         self.grants = {
--- a/lupinlink/coordination/lead.py
+++ b/lupinlink/coordination/leader_election.py
@@ -24,20 +24,20 @@
 from lupinlink.coordination.contract import (
     ABSENT,
     Agreement,
-    Drop,
-    Guarded,
-    Held,
+    CheckHolder,
+    CheckRevision,
     Lease,
+    Lock,
     Put,
     Record,
     Step,
-    Take,
+    Unlock,
     View,
     Watch,
 )
 from lupinlink.coordination.errors import ConflictError, LeaseLostError, UncertainError
-from lupinlink.coordination.fence import Mark, Seen, read_mark, write_mark
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.fence import FenceRecord, HighestFence, decode_fence, encode_fence
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.errors import LupinError
 
 log = logging.getLogger(__name__)
@@ -47,20 +47,20 @@
 MET = "/met"  # after the key: where the highest fence stands that somebody met and the lead does not have
 
 
-class Lead:
+class LeaderElection:
     """The agent of one process for one record."""
 
     def __init__(
         self,
         agreement: Agreement,
         clock: Clock,
-        tenure: Tenure,
+        process_lease: ProcessLease,
         key: str,
         name: str,
         draw: Callable[[], float],
         became: Callable[[int], None],
         lost: Callable[[LupinError], None],
-        seen: Seen | None = None,
+        seen: HighestFence | None = None,
         spread_ms: float = SPREAD_MS,
         lock_delay_ms: float = LOCK_DELAY_MS,
     ) -> None:
@@ -69,9 +69,9 @@
         ``became(fence)`` is told when it leads, and again when it leads on under a higher fence; ``lost``
         when it leads no more. ``seen``: shared with what obeys the lead in this process.
         """
-        self._agreement, self._clock, self._tenure, self._draw = agreement, clock, tenure, draw
+        self._agreement, self._clock, self._process_lease, self._draw = agreement, clock, process_lease, draw
         self._key, self._name, self._became, self._lost = key, name, became, lost
-        self._seen = seen or Seen()
+        self._seen = seen or HighestFence()
         self._spread_ms, self._lock_delay_ms = spread_ms, lock_delay_ms
         self._backoff = Backoff(max(lock_delay_ms, 500.0), MOST_AGAIN_MS, draw)
         self._record: Record | None = None  # as last seen
@@ -86,7 +86,7 @@
         self.fence = 0  # of its own lead, the last one
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether it may believe that it leads. Danger: only a commit with ``guard()`` knows."""
         return self._lease is not None and self._lease.holds()
 
@@ -99,11 +99,11 @@
         """What each commit under this lead must hold. Raises LeaseLostError when it does not lead."""
         if self._lease is None or not self._lease.holds():
             raise LeaseLostError(f"{self._name} does not lead {self._key}")
-        return (Held(self._key, self._lease.name),)
+        return (CheckHolder(self._key, self._lease.name),)
 
     def start(self) -> None:
         """Watch, and campaign whenever the record is free."""
-        self._tenure.listen(lambda lease: self._look(), self._dismiss)
+        self._process_lease.listen(lambda lease: self._look(), self._dismiss)
         self._watch = self._agreement.watch(self._key, self._view, lambda error: None)
 
     def stop(self) -> None:
@@ -112,13 +112,13 @@
             self._watch.stop()
         self._watch = None
         self._clock.drop(self._call)
-        if self.leads:
+        if self.is_leader:
             assert self._lease is not None
-            steps = [Drop(self._key, write_mark(Mark(self.fence)), self._lease.name)]
+            steps = [Unlock(self._key, encode_fence(FenceRecord(self.fence)), self._lease.name)]
             self._agreement.commit(steps).addErrback(lambda failure: None)
         self._lease = None
 
-    def heard(self, fence: int) -> None:
+    def observe_fence(self, fence: int) -> None:
         """Somebody has met this fence; a lead under a lower one takes a higher, or none would obey it."""
         self._seen.admits(fence)
         self._look()
@@ -135,7 +135,7 @@
     def _look(self) -> None:
         if self._watch is None or not self._known or self._asking:
             return
-        record, lease = self._record, self._tenure.lease
+        record, lease = self._record, self._process_lease.lease
         mark, met = _mark(record), _mark(self._met)
         self._seen.admits(max(mark.fence, met.fence))
         mine = record is not None and lease is not None and record.lease == lease.name
@@ -155,8 +155,13 @@
         self._unplan()
         if fence < self._seen.highest or (self._lease is None and fence <= self.fence):
             # A restore: under a lower fence none would obey, and its own last lead was told to be over.
-            mark = Mark(self._seen.next(fence), self._name)
-            self._commit([Held(self._key, lease.name), Put(self._key, write_mark(mark), record.revision)])
+            mark = FenceRecord(self._seen.next(fence), self._name)
+            self._commit(
+                [
+                    CheckHolder(self._key, lease.name),
+                    Put(self._key, encode_fence(mark), record.revision),
+                ]
+            )
         elif self._lease is not lease or fence != self.fence:
             self._lease, self.fence = lease, fence
             log.info("leads", extra={"kv": {"key": self._key, "fence": fence}})
@@ -174,19 +179,19 @@
 
     def _campaign(self) -> None:
         self._planned = False
-        lease, record = self._tenure.lease, self._record
+        lease, record = self._process_lease.lease, self._record
         if record is not None and record.lease and (lease is None or record.lease != lease.name):
             self._complain()
             return
         if lease is None:
             return
-        mark = Mark(self._seen.next(_mark(record).fence), self._name)
+        mark = FenceRecord(self._seen.next(_mark(record).fence), self._name)
         # Danger: without the guard two candidates would write one and the same fence, one after the other.
         revision = record.revision if record is not None else ABSENT
-        self._commit([Guarded(self._key, revision), Take(self._key, write_mark(mark), lease.name)])
+        self._commit([CheckRevision(self._key, revision), Lock(self._key, encode_fence(mark), lease.name)])
 
     def _complain(self) -> None:
-        value = write_mark(Mark(self._seen.highest, self._name))
+        value = encode_fence(FenceRecord(self._seen.highest, self._name))
         revision = self._met.revision if self._met is not None else ABSENT
         self._commit([Put(self._key + MET, value, revision)])
 
@@ -227,5 +232,5 @@
             self._lost(error)
 
 
-def _mark(record: Record | None) -> Mark:
-    return read_mark(record.value) if record is not None else Mark()
+def _mark(record: Record | None) -> FenceRecord:
+    return decode_fence(record.value) if record is not None else FenceRecord()
--- a/lupinlink/coordination/keeping.py
+++ b/lupinlink/coordination/lease_renewal.py
@@ -15,7 +15,7 @@
 from lupinlink.clock import Clock
 from lupinlink.coordination.backoff import Backoff
 from lupinlink.coordination.errors import LeaseLostError
-from lupinlink.coordination.wire import Wire
+from lupinlink.coordination.transport import Transport
 from lupinlink.errors import LupinError
 
 DRIFT = 0.02  # of a lease's time that is not believed in
@@ -24,12 +24,12 @@
 FIRST_AGAIN_MS = 250.0  # the shortest wait after a renewal that failed
 
 
-class KeptLease:
+class RenewedLease:
     """A ``contract.Lease``; made when the service has granted it."""
 
     def __init__(
         self,
-        wire: Wire,
+        transport: Transport,
         clock: Clock,
         draw: Callable[[], float],
         name: str,
@@ -39,7 +39,7 @@
     ) -> None:
         """``asked_ms``: the clock before the lease was asked for."""
         self.name = name
-        self._wire, self._clock, self._draw, self._lost = wire, clock, draw, lost
+        self._transport, self._clock, self._draw, self._lost = transport, clock, draw, lost
         self._ttl = self._every = ttl_ms
         self._backoff = Backoff(FIRST_AGAIN_MS, ttl_ms * RENEW, draw)
         self._until = asked_ms + ttl_ms * (1.0 - DRIFT)
@@ -65,7 +65,7 @@
         name, self.name = self.name, ""
         self._clock.drop(self._end_call)
         self._clock.drop(self._renew_call)
-        return self._wire.close(name)
+        return self._transport.close(name)
 
     def _lose(self, why: str) -> None:
         error = LeaseLostError(why)
@@ -80,7 +80,7 @@
 
     def _renew(self) -> None:
         asked_ms = self._clock.now()
-        self._wire.renew(self.name).addCallbacks(self._renewed, self._failed, callbackArgs=(asked_ms,))
+        self._transport.renew(self.name).addCallbacks(self._renewed, self._failed, callbackArgs=(asked_ms,))
 
     def _renewed(self, every_ms: float, asked_ms: float) -> None:
         if not self.name:
--- a/lupinlink/coordination/presence.py
+++ b/lupinlink/coordination/presence.py
@@ -14,9 +14,9 @@
 
 from lupinlink.clock import Clock
 from lupinlink.coordination.backoff import Backoff
-from lupinlink.coordination.contract import Agreement, Delete, Held, Lease, Record, Step, Take
-from lupinlink.coordination.part import Member
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.component import Member
+from lupinlink.coordination.contract import Agreement, CheckHolder, Delete, Lease, Lock, Record, Step
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.errors import LupinError
 
 log = logging.getLogger(__name__)
@@ -41,9 +41,19 @@
     """The agent of one process."""
 
     def __init__(
-        self, agreement: Agreement, clock: Clock, tenure: Tenure, member: Member, draw: Callable[[], float]
+        self,
+        agreement: Agreement,
+        clock: Clock,
+        process_lease: ProcessLease,
+        member: Member,
+        draw: Callable[[], float],
     ) -> None:
-        self._agreement, self._clock, self._tenure, self._member = agreement, clock, tenure, member
+        self._agreement, self._clock, self._process_lease, self._member = (
+            agreement,
+            clock,
+            process_lease,
+            member,
+        )
         self._key, self._value = PREFIX + member.name, member_record(member)
         self._backoff = Backoff(FIRST_AGAIN_MS, MOST_AGAIN_MS, draw)
         self._call = 0
@@ -52,15 +62,15 @@
 
     def start(self) -> None:
         """Be known whenever there is a lease."""
-        self._tenure.listen(lambda lease: self._take(), self._lost)
+        self._process_lease.listen(lambda lease: self._take(), self._lost)
 
     def stop(self) -> None:
         """Leave: the record goes at once, so that a process of the same name may take it."""
         self._stopped = True
         self._clock.drop(self._call)
-        lease = self._tenure.lease
+        lease = self._process_lease.lease
         if lease is not None and self.known:
-            steps: list[Step] = [Held(self._key, lease.name), Delete(self._key, None)]
+            steps: list[Step] = [CheckHolder(self._key, lease.name), Delete(self._key, None)]
             self._agreement.commit(steps).addErrback(lambda failure: None)
         self.known = False
 
@@ -69,13 +79,13 @@
         self._clock.drop(self._call)
 
     def _take(self) -> None:
-        lease = self._tenure.lease
+        lease = self._process_lease.lease
         if lease is not None and not self._stopped:
-            taken = self._agreement.commit([Take(self._key, self._value, lease.name)])
+            taken = self._agreement.commit([Lock(self._key, self._value, lease.name)])
             taken.addCallbacks(self._taken, self._refused, callbackArgs=(lease,))
 
     def _taken(self, records: dict[str, Record], lease: Lease) -> None:
-        if lease is self._tenure.lease:
+        if lease is self._process_lease.lease:
             self._backoff.reset()
             self.known = not self._stopped
             log.info("joined", extra={"kv": {"member": self._member.name, "lease": lease.name}})
--- a/lupinlink/coordination/tenure.py
+++ b/lupinlink/coordination/process_lease.py
@@ -22,7 +22,7 @@
 Lost = Callable[[LupinError], None]
 
 
-class Tenure:
+class ProcessLease:
     """The agent; ``start`` it once."""
 
     def __init__(self, agreement: Agreement, clock: Clock, ttl_ms: float, draw: Callable[[], float]) -> None:
--- a/lupinlink/coordination/pace.py
+++ b/lupinlink/coordination/rate_limit.py
@@ -10,19 +10,19 @@
 
 from dataclasses import dataclass
 
-MOST_OWED = 2  # who commits all the time still hears a third of what it might
+MAX_OWED_CALLS = 2  # who commits all the time still hears a third of what it might
 
 
 @dataclass(frozen=True, slots=True)
-class Pacing:
+class CallTiming:
     """How often the service is asked."""
 
     ask_ms: float = 1000.0  # between two calls of this process, on average; standing questions wait for it
     wait_ms: float = 10000.0  # how long a question may stand while nothing changes, at most
-    again_ms: float = 500.0  # the shortest wait after one that failed
+    retry_ms: float = 500.0  # the shortest wait after one that failed
 
 
-class Pace:
+class CallRateLimiter:
     """Hands out moments; one that was handed out and not used is lost."""
 
     def __init__(self, gap_ms: float, burst: int) -> None:
@@ -39,4 +39,4 @@
 
     def spend(self) -> None:
         """A call that did not wait."""
-        self._owed = min(MOST_OWED, self._owed + 1)
+        self._owed = min(MAX_OWED_CALLS, self._owed + 1)
--- a/lupinlink/coordination/history.py
+++ b/lupinlink/coordination/restore_detection.py
@@ -21,7 +21,7 @@
     return False
 
 
-def follow(before: View | None, after: View) -> View:
+def next_view(before: View | None, after: View) -> View:
     """The View to tell: its index is lower than the one told before only if the service was restored."""
     if before is None:
         return after
--- a/lupinlink/coordination/wire.py
+++ b/lupinlink/coordination/transport.py
@@ -16,17 +16,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class ReadResult:
     """The answer to a question."""
 
     records: dict[str, Record]  # by key
     index: int  # to be handed in with the next question, over 0
 
 
-class Wire(Protocol):
+class Transport(Protocol):
     """The calls."""
 
-    def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[Found]:
+    def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[ReadResult]:
         """Records below a prefix; with an index over 0 only once there is another, or after ``wait_ms``.
 
         Fails: UnreachableError, BusyError.
--- a/lupinlink/lab/agreed_fleet.py
+++ b/lupinlink/lab/agreed_fleet.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 
 from lupinlink.clock import Clock
-from lupinlink.coordination.client import Client
+from lupinlink.coordination.client import AgreementClient
+from lupinlink.coordination.component import AdminRequest, AdminResponse, Member
 from lupinlink.coordination.contract import View
-from lupinlink.coordination.memory import MemoryService, MemoryWire
-from lupinlink.coordination.part import Answer, Ask, Member
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.memory import MemoryService, MemoryTransport
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.lab.model.clock import VirtualClock
 from lupinlink.release.agent import ReleaseAgent
 from lupinlink.release.known import Known, known
@@ -109,10 +109,10 @@
     processes: int = 0
     host: VirtualHost | None = None
     agent: ReleaseAgent | None = None
-    client: Client | None = None
+    client: AgreementClient | None = None
     clock: Clock | None = None
-    wire: MemoryWire | None = None
-    tenure: Tenure | None = None
+    transport: MemoryTransport | None = None
+    process_lease: ProcessLease | None = None
 
 
 @dataclass
@@ -153,27 +153,29 @@
         place.processes += 1
         draw = random.Random(self._random.random()).random
         place.clock = self.make_clock(self.clock)
-        place.wire = self.service.wire(place.clock)
-        place.client = Client(place.wire, place.clock, draw)
-        place.tenure = Tenure(place.client, place.clock, LEASE_MS, draw)
+        place.transport = self.service.transport(place.clock)
+        place.client = AgreementClient(place.transport, place.clock, draw)
+        place.process_lease = ProcessLease(place.client, place.clock, LEASE_MS, draw)
         place.host = VirtualHost(
             self, Member(place.name, place.zone, place.version), place.processes, self.clock.now(),
             self.bad.get(place.version, 0.0),
         )  # fmt: skip
-        place.agent = ReleaseAgent(place.client, place.clock, place.tenure, place.host, self.settings, draw)
-        place.tenure.start()
+        place.agent = ReleaseAgent(
+            place.client, place.clock, place.process_lease, place.host, self.settings, draw
+        )
+        place.process_lease.start()
         place.agent.start()
 
     def kill(self, place: Place) -> None:
         """SIGKILL: nothing of it is told to anybody; what it had sent arrives."""
         if place.host is None:
             return
-        assert place.agent is not None and place.tenure is not None and place.client is not None
-        assert place.wire is not None
+        assert place.agent is not None and place.process_lease is not None and place.client is not None
+        assert place.transport is not None
         self.calls_before += place.client.calls
-        place.wire.cut = True
+        place.transport.cut = True
         place.agent.stop()
-        place.tenure.stop()
+        place.process_lease.stop()
         place.host.killed = True
         place.host = place.agent = None
 
@@ -188,7 +190,7 @@
 
     def known(self) -> Known:
         """What stands in the service."""
-        records, index = self.service.ledger.read(RELEASE, self.clock.now())
+        records, index = self.service.store.read(RELEASE, self.clock.now())
         return known(View(RELEASE, records, index), "")
 
     def wanted(self, place: Place) -> str:
@@ -209,11 +211,11 @@
     def run(self, seconds: float) -> None:
         self.clock.run(self.clock.now() + seconds * 1000.0)
 
-    def call(self, method: str, path: str, **query: str) -> Answer:
+    def call(self, method: str, path: str, **query: str) -> AdminResponse:
         """An operator's call at the first proxy that runs."""
         place = next(place for place in self.places.values() if place.agent is not None)
         assert place.agent is not None
-        return {**place.agent.calls(), **place.agent.drains()}[path][method](Ask(query))
+        return {**place.agent.admin_routes(), **place.agent.drains()}[path][method](AdminRequest(query))
 
     def out(self) -> list[str]:
         """Who serves nobody at this moment, whatever is known of it."""
--- a/lupinlink/lab/agreed_release.py
+++ b/lupinlink/lab/agreed_release.py
@@ -83,7 +83,7 @@
 
 def _strike(fleet: VirtualFleet, fault: str) -> None:
     if fault == "lead_killed":
-        lead = next(p for p in fleet.places.values() if p.agent is not None and p.agent.lead.leads)
+        lead = next(p for p in fleet.places.values() if p.agent is not None and p.agent.lead.is_leader)
         fleet.kill(lead)
         fleet.again(lead)
     elif fault == "agreement_gone":
--- a/lupinlink/lab/migration_fleet.py
+++ b/lupinlink/lab/migration_fleet.py
@@ -8,12 +8,12 @@
 from typing import cast
 
 from lupinlink.clock import Clock
-from lupinlink.coordination.client import Client
+from lupinlink.coordination.client import AgreementClient
+from lupinlink.coordination.component import AdminRequest, AdminResponse, Member
 from lupinlink.coordination.contract import Put
-from lupinlink.coordination.lead import Lead
+from lupinlink.coordination.leader_election import LeaderElection
 from lupinlink.coordination.memory import MemoryService
-from lupinlink.coordination.part import Answer, Ask, Member
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.lab.migration_crowd import LabProxy
 from lupinlink.lab.model.clock import VirtualClock
 from lupinlink.migration.agent import Base, Migrations
@@ -43,12 +43,12 @@
         self.proxy, self.life, self.clock = proxy, life, clock
         self._fleet = fleet
         draw = random.Random(f"{fleet.fixed.seed} {proxy.name} {life}").random
-        self.wire = fleet.service.wire(clock)
-        self.client = Client(self.wire, clock, draw)
-        self.tenure = Tenure(self.client, clock, TTL_MS, draw)
+        self.transport = fleet.service.transport(clock)
+        self.client = AgreementClient(self.transport, clock, draw)
+        self.process_lease = ProcessLease(self.client, clock, TTL_MS, draw)
         run = f"{proxy.name}-{life}"
-        self.lead = Lead(
-            self.client, clock, self.tenure, PREFIX + "migration-lead", run, draw,
+        self.lead = LeaderElection(
+            self.client, clock, self.process_lease, PREFIX + "migration-lead", run, draw,
             lambda fence: None, lambda error: None,
         )  # fmt: skip
         member = Member(proxy.name, proxy.zone, "1", proxy.pool)
@@ -57,7 +57,7 @@
         self.part = Migrations(base, member, lambda: proxy, self.lead, fixed.settings, fixed.release)
         self._run, self._draw, self._beat = run, draw, 0
         self.ended = False
-        self.tenure.start()
+        self.process_lease.start()
         self.lead.start()
         self.part.start()
         clock.after(draw() * 1000.0, self._report)
@@ -79,10 +79,10 @@
     def end(self) -> None:
         """SIGKILL: nothing is said any more."""
         self.ended = True
-        self.wire.cut = True
+        self.transport.cut = True
         self.part.stop()
         self.lead.stop()
-        self.tenure.stop()
+        self.process_lease.stop()
 
 
 class Fleet:
@@ -124,20 +124,20 @@
 
     def lead(self) -> Process | None:
         """Whoever leads and lives."""
-        return next((one for one in self.processes.values() if not one.ended and one.lead.leads), None)
+        return next((one for one in self.processes.values() if not one.ended and one.lead.is_leader), None)
 
-    def ask(self, word: str, at: str = "", **query: str) -> Answer:
+    def ask(self, word: str, at: str = "", **query: str) -> AdminResponse:
         """An operator's call at one proxy's door."""
         process = self.processes[at] if at else next(one for one in self.processes.values() if not one.ended)
-        calls = process.part.calls()
+        calls = process.part.admin_routes()
         method = calls[f"{CALL}/{word}" if word else CALL]
         return next(iter(method.values()))(
-            Ask({name.replace("_", "-"): value for name, value in query.items()})
+            AdminRequest({name.replace("_", "-"): value for name, value in query.items()})
         )
 
     def listener(self, name: str) -> Listener | None:
         """As it stands in the service."""
-        record = self.service.ledger.records.get(PREFIX + LISTENERS + name)
+        record = self.service.store.records.get(PREFIX + LISTENERS + name)
         return read_listener(record.value) if record is not None else None
 
     @property
--- a/lupinlink/lab/quota/fleet.py
+++ b/lupinlink/lab/quota/fleet.py
@@ -7,9 +7,9 @@
 import random
 from collections.abc import Callable, Sequence
 
-from lupinlink.coordination.client import Client
+from lupinlink.coordination.client import AgreementClient
 from lupinlink.coordination.memory import MemoryService
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.errors import LupinError
 from lupinlink.lab.model.clock import VirtualClock
 from lupinlink.lab.quota.clocks import ProcessClock
@@ -36,19 +36,19 @@
         )
         self.purses: list[Purse] = []
         self.agent: QuotaAgent | None = None
-        self.wire = fleet.service.wire(self.clock)
-        self.client = Client(self.wire, self.clock, rng.random)
+        self.transport = fleet.service.transport(self.clock)
+        self.client = AgreementClient(self.transport, self.clock, rng.random)
         if fleet.kind != "shared":
             share = 1 if fleet.kind == "whole" else len(fleet.weights)
             limits = [_divided(limit, share) for limit in fleet.policy.limits]
             self.purses = [LocalPurse(limits)]
             return
-        self.tenure = Tenure(self.client, self.clock, LEASE_MS, rng.random)
+        self.process_lease = ProcessLease(self.client, self.clock, LEASE_MS, rng.random)
         self.agent = QuotaAgent(
-            self.client, self.clock, self.tenure, rng.random, fleet.terms, self.name, place, "1",
+            self.client, self.clock, self.process_lease, rng.random, fleet.terms, self.name, place, "1",
             fleet.build, lambda policy: frozenset(), self._changed, fleet.told.append,
         )  # fmt: skip
-        self.tenure.start()
+        self.process_lease.start()
         self.agent.start()
 
     def _changed(self, versions: Sequence[InForce]) -> None:
@@ -121,7 +121,7 @@
     def lead(self) -> Process | None:
         """Who deals."""
         return next(
-            (p for p in self.processes if p.agent is not None and p.agent.lead.leads and p.serves), None
+            (p for p in self.processes if p.agent is not None and p.agent.lead.is_leader and p.serves), None
         )
 
     def _arrive(self) -> None:
--- a/lupinlink/migration/agent.py
+++ b/lupinlink/migration/agent.py
@@ -1,6 +1,6 @@
 """Migrations in one process: its proxy's part, the lead's if it leads, and the operators' calls.
 
-Implements ``lupinlink.coordination.part.Part``.
+Implements ``lupinlink.coordination.component.Component``.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from twisted.python.failure import Failure
 
 from lupinlink.clock import Clock
+from lupinlink.coordination.component import AdminRequest, AdminResponse, AdminRoutes, Member
 from lupinlink.coordination.contract import Agreement, View
-from lupinlink.coordination.part import Answer, Ask, DoorCalls, Member
 from lupinlink.migration import asked
 from lupinlink.migration.follower import Follower
 from lupinlink.migration.host import Host
-from lupinlink.migration.leading import Conductor, Leads
+from lupinlink.migration.leading import Conductor, Leadership
 from lupinlink.migration.model import PROGRESS, Listener
 from lupinlink.migration.ordering import Decide, Orders
 from lupinlink.migration.progress import Progress, read_progress
@@ -51,7 +51,7 @@
         base: Base,
         me: Member,
         host: Callable[[], Host],
-        lead: Leads,
+        lead: Leadership,
         settings: MigrationSettings,
         release: ReleaseSettings,
     ) -> None:
@@ -85,7 +85,7 @@
         self._orders.stop()
         self._base.clock.drop(self._call)
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         path = "/control/migration"
         return {
             path: {"GET": self._show},
@@ -108,24 +108,24 @@
     def _changed(self) -> None:
         self._reporter.obey()
 
-    def _show(self, ask: Ask) -> Answer:
+    def _show(self, ask: AdminRequest) -> AdminResponse:
         now = self._base.clock.now()
         self._asked_at = now
         if not self._reading:
             self._ask_lead()
-        if self._lead.leads:
+        if self._lead.is_leader:
             told = {name: Told(word, 0.0) for name, word in self._conductor.progress.items()}
         else:
             ages = {name: (word, now - since) for name, (word, since) in self._read.items()}
             told = {name: Told(word, age) for name, (word, age) in ages.items() if age <= ASKED_MS}
         silent = self._records.silent or ("" if self._records.heard_at is not None else "not heard of yet")
         text = page(self._records.listeners, told, self._settings, silent, self._orders.lines())
-        return Answer(200, text)
+        return AdminResponse(200, text)
 
     def _ask_lead(self) -> None:
         """Read the lead's word, and go on while an operator looks."""
         now = self._base.clock.now()
-        self._reading = now - self._asked_at <= ASKED_MS and not self._lead.leads
+        self._reading = now - self._asked_at <= ASKED_MS and not self._lead.is_leader
         if self._reading:
             self._call = self._base.clock.at(now + self._settings.look_ms, self._ask_lead)
             read = self._base.agreement.read(self._base.prefix + PROGRESS)
@@ -145,31 +145,33 @@
     def _not_told(self, failure: Failure) -> None:
         """What was read before stays, with its age."""
 
-    def _order(self, what: str, ask: Ask, known: set[str], decide: Decide) -> Answer:
+    def _order(self, what: str, ask: AdminRequest, known: set[str], decide: Decide) -> AdminResponse:
         if unknown := sorted(set(ask.query) - known):
-            return Answer(400, f"unknown: {', '.join(unknown)}; known are {', '.join(sorted(known))}\n")
+            return AdminResponse(
+                400, f"unknown: {', '.join(unknown)}; known are {', '.join(sorted(known))}\n"
+            )
         words = " ".join(f"{name}={value}" for name, value in sorted(ask.query.items()))
         return self._orders.give(f"{what} {words}".strip(), decide)
 
-    def _start(self, ask: Ask) -> Answer:
+    def _start(self, ask: AdminRequest) -> AdminResponse:
         name, target = ask.query.get("listener", ""), ask.query.get("to", "")
         if not target:
-            return Answer(400, "to=POOL is missing\n")
+            return AdminResponse(400, "to=POOL is missing\n")
 
         def decide(listeners: Mapping[str, Listener]) -> Listener:
             return asked.start(listeners, asked.meant(listeners, name).name, target)
 
         return self._order("start", ask, {"listener", "to"}, decide)
 
-    def _halt(self, ask: Ask) -> Answer:
+    def _halt(self, ask: AdminRequest) -> AdminResponse:
         name = ask.query.get("listener", "")
         return self._order("halt", ask, {"listener"}, lambda all_: asked.halt(asked.meant(all_, name)))
 
-    def _go_on(self, ask: Ask) -> Answer:
+    def _go_on(self, ask: AdminRequest) -> AdminResponse:
         name, accept = ask.query.get("listener", ""), ask.query.get("gate", "")
         without = [one for one in ask.query.get("without", "").split(",") if one]
         if accept not in ("", "accept"):
-            return Answer(400, "gate=accept is all that may be said of a gate\n")
+            return AdminResponse(400, "gate=accept is all that may be said of a gate\n")
         return self._order(
             "go-on",
             ask,
@@ -177,6 +179,6 @@
             lambda all_: asked.go_on(asked.meant(all_, name), without, bool(accept)),
         )
 
-    def _back(self, ask: Ask) -> Answer:
+    def _back(self, ask: AdminRequest) -> AdminResponse:
         name = ask.query.get("listener", "")
         return self._order("back", ask, {"listener"}, lambda all_: asked.back(asked.meant(all_, name)))
--- a/lupinlink/migration/leading.py
+++ b/lupinlink/migration/leading.py
@@ -34,13 +34,13 @@
 SPREAD = 0.1  # of the time between two looks, drawn
 
 
-class Leads(Protocol):
-    """Whether this process leads: ``lupinlink.coordination.lead.Lead``."""
+class Leadership(Protocol):
+    """Whether this process leads: ``lupinlink.coordination.leader_election.LeaderElection``."""
 
     fence: int
 
     @property
-    def leads(self) -> bool: ...
+    def is_leader(self) -> bool: ...
 
     def guard(self) -> tuple[Step, ...]: ...
 
@@ -54,7 +54,7 @@
         clock: Clock,
         draw: Callable[[], float],
         records: Records,
-        lead: Leads,
+        lead: Leadership,
         settings: MigrationSettings,
         release: ReleaseSettings,
         prefix: str,
@@ -86,7 +86,7 @@
 
     def _tick(self) -> None:
         self._plan()
-        if self._turning or not self._lead.leads or self._records.heard_at is None:
+        if self._turning or not self._lead.is_leader or self._records.heard_at is None:
             return
         term = self._lead.fence, self._records.restored
         if term != self._term:
--- a/lupinlink/migration/ordering.py
+++ b/lupinlink/migration/ordering.py
@@ -11,8 +11,8 @@
 
 from lupinlink.clock import Clock
 from lupinlink.coordination.backoff import Backoff
+from lupinlink.coordination.component import AdminResponse
 from lupinlink.coordination.errors import ConflictError
-from lupinlink.coordination.part import Answer
 from lupinlink.errors import LupinError
 from lupinlink.migration.errors import MigrationError, OrderLostError
 from lupinlink.migration.model import Listener
@@ -43,19 +43,19 @@
         """What was asked for here, and what came of it."""
         return [f"{what}: {came}" for what, came in self._given]
 
-    def give(self, what: str, decide: Decide) -> Answer:
+    def give(self, what: str, decide: Decide) -> AdminResponse:
         """An order: 202 if it fits what is known here, and on its way; else why not, and nothing is asked."""
         try:
             wanted = decide(self._records.listeners)
         except MigrationError as exc:
-            return Answer(409, exc.line() + "\n")
+            return AdminResponse(409, exc.line() + "\n")
         if wanted is self._records.listeners.get(wanted.name):
-            return Answer(200, "nothing to do, it stands so already\n")
+            return AdminResponse(200, "nothing to do, it stands so already\n")
         entry = [what, "on its way"]
         self._given.append(entry)
         log.info("order", extra={"kv": {"order": what}})
         self._try(entry, decide, Backoff(AGAIN_MS, MOST_AGAIN_MS, self._draw), TRIES)
-        return Answer(202, "asked for; GET /control/migration tells what comes of it\n")
+        return AdminResponse(202, "asked for; GET /control/migration tells what comes of it\n")
 
     def _try(self, entry: list[str], decide: Decide, backoff: Backoff, tries: int) -> None:
         def failed(failure: Failure) -> None:
--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -16,17 +16,17 @@
 from importlib import import_module
 from typing import TYPE_CHECKING, Any, Protocol, cast, runtime_checkable
 
-from lupinlink.config.errors import FleetPartError
+from lupinlink.config.errors import FleetComponentError
 from lupinlink.config.fleet import AgreementSettings, FleetFile
-from lupinlink.coordination.client import Client
+from lupinlink.coordination.client import AgreementClient
+from lupinlink.coordination.component import AdminRequest, AdminResponse, AdminRoutes, Component, Member
 from lupinlink.coordination.contract import Agreement
-from lupinlink.coordination.lead import Lead
+from lupinlink.coordination.leader_election import LeaderElection
 from lupinlink.coordination.memory import MemoryService
-from lupinlink.coordination.pace import Pacing
-from lupinlink.coordination.part import Answer, Ask, DoorCalls, Member, Part
 from lupinlink.coordination.presence import Presence
-from lupinlink.coordination.tenure import Tenure
-from lupinlink.coordination.wire import Wire
+from lupinlink.coordination.process_lease import ProcessLease
+from lupinlink.coordination.rate_limit import CallTiming
+from lupinlink.coordination.transport import Transport
 from lupinlink.errors import LupinError
 from lupinlink.net.drain_reasons import DrainReasons
 from lupinlink.net.fleet_extension import ExtensionHost, Refusal
@@ -65,16 +65,16 @@
 
     agreement: Agreement
     clock: ReactorClock
-    tenure: Tenure  # the one lease of the process: a lease per part would cost a call every 3 s each
+    process_lease: ProcessLease  # shared: a lease per component would cost a call every 3 s each
     draw: Callable[[], float]
     member: Member
     settings: AgreementSettings
     folder: str  # the folder of the fleet file
     settings_by_table: Mapping[str, Any] = field(default_factory=dict)  # the settings of the parts
-    parts: dict[str, Part] = field(default_factory=dict)  # those made so far, by table
+    parts: dict[str, Component] = field(default_factory=dict)  # those made so far, by table
     run_id: str = ""  # random, identifies this process
     _host: ExtensionHost | None = None
-    _lead: Lead | None = None
+    _lead: LeaderElection | None = None
     _lead_managed_by_part: bool = False  # a part starts and stops it
     _wishes: DrainReasons | None = None
 
@@ -91,18 +91,18 @@
             self._wishes = DrainReasons(self.host.drain, self.host.in_service)
         return self._wishes
 
-    def lead(self) -> Lead:
+    def lead(self) -> LeaderElection:
         """The leadership that all parts share: its holder advances all plans of the fleet."""
         if self._lead is None:
-            self._lead = Lead(
-                self.agreement, self.clock, self.tenure, "lead", self.member.name, self.draw,
+            self._lead = LeaderElection(
+                self.agreement, self.clock, self.process_lease, "lead", self.member.name, self.draw,
                 lambda fence: log.info("leads", extra={"kv": {"fence": fence}}),
                 lambda error: log.warning("leads no more", extra={"kv": {"why": error.line()}}),
                 lock_delay_ms=self.settings.lock_delay_s * 1000.0,
             )  # fmt: skip
         return self._lead
 
-    def use_lead(self, lead: Lead) -> None:
+    def use_lead(self, lead: LeaderElection) -> None:
         """Share the leadership of a part, which starts and stops it."""
         self._lead, self._lead_managed_by_part = lead, True
 
@@ -122,24 +122,24 @@
     """Implements ``FleetExtension`` for one process."""
 
     def __init__(self, file: FleetFile, config: Config, reactor: Reactor, version: str) -> None:
-        """Raises FleetPartError, and the errors that a part's ``make`` raises."""
+        """Raises FleetComponentError, and the errors that a part's ``make`` raises."""
         agreement, member = file.agreement, file.member
         zones, zone = config.settings.zones, config.settings.zone
         own_zone = zones[zone] if zone < len(zones) else str(zone)
         draw = random.SystemRandom().random  # equal seeds would make all proxies act at the same times
         clock = ReactorClock(reactor)
         self._started_at = time.monotonic()
-        self._wire = self._connect_agreement(agreement, reactor, clock, config.name)
-        pacing = Pacing(agreement.ask_ms, agreement.wait_s * 1000.0)
-        self._agreement = Client(self._wire, clock, draw, pacing)
-        self._tenure = Tenure(self._agreement, clock, agreement.lease_s * 1000.0, draw)
+        self._transport = self._connect_agreement(agreement, reactor, clock, config.name)
+        pacing = CallTiming(agreement.ask_ms, agreement.wait_s * 1000.0)
+        self._agreement = AgreementClient(self._transport, clock, draw, pacing)
+        self._process_lease = ProcessLease(self._agreement, clock, agreement.lease_s * 1000.0, draw)
         self._file = file
         self._context = FleetContext(
-            self._agreement, clock, self._tenure, draw,
+            self._agreement, clock, self._process_lease, draw,
             Member(config.name, member.zone or own_zone, member.version or version, member.pool),
             agreement, file.folder, file.parts, run_id=f"{config.name}-{draw():.16f}",
         )  # fmt: skip
-        self._presence = Presence(self._agreement, clock, self._tenure, self._context.member, draw)
+        self._presence = Presence(self._agreement, clock, self._process_lease, self._context.member, draw)
         for table, settings in file.parts.items():
             self._context.parts[table] = self._make_part(table, settings)
         controls = [part for part in self._context.parts.values() if isinstance(part, AdmissionControl)]
@@ -148,28 +148,30 @@
     @staticmethod
     def _connect_agreement(
         agreement: AgreementSettings, reactor: Reactor, clock: ReactorClock, name: str
-    ) -> Wire:
+    ) -> Transport:
         if agreement.form == "memory":
-            return MemoryService(clock, agreement.lock_delay_s * 1000.0).wire()
-        from lupinlink.coordination.consul import ConsulWire, Place
+            return MemoryService(clock, agreement.lock_delay_s * 1000.0).transport()
+        from lupinlink.coordination.consul import ConsulSettings, ConsulTransport
 
-        host, port = agreement.place
+        host, port = agreement.host_and_port
         lock_delay_ms = agreement.lock_delay_s * 1000.0
-        place = Place(host, port, agreement.prefix, agreement.token, agreement.call_ms, lock_delay_ms, name)
-        return ConsulWire(reactor, place)
+        place = ConsulSettings(
+            host, port, agreement.prefix, agreement.token, agreement.call_ms, lock_delay_ms, name
+        )
+        return ConsulTransport(reactor, place)
 
-    def _make_part(self, table: str, settings: Any) -> Part:
+    def _make_part(self, table: str, settings: Any) -> Component:
         try:
             part = import_module(PART_MODULES[table]).make(self._context, settings)
         except ModuleNotFoundError as exc:
-            raise FleetPartError(f"{table}: {exc}") from exc
-        return cast(Part, part)
+            raise FleetComponentError(f"{table}: {exc}") from exc
+        return cast(Component, part)
 
     def started(self, host: ExtensionHost) -> None:
         """The reactor runs."""
         self._context.begin(host)
-        self._tenure.listen(lambda lease: None, self._on_lease_lost)
-        self._tenure.start()
+        self._process_lease.listen(lambda lease: None, self._on_lease_lost)
+        self._process_lease.start()
         self._presence.start()
         for part in self._context.parts.values():
             part.start()
@@ -187,17 +189,17 @@
                 log.exception("a part failed to stop")
         self._context.stop()
         self._presence.stop()
-        self._tenure.stop()
+        self._process_lease.stop()
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """The calls of the parts, and one that shows this process's state at the agreement service."""
-        table: dict[str, Mapping[str, Callable[[Ask], Answer]]] = {
+        table: dict[str, Mapping[str, Callable[[AdminRequest], AdminResponse]]] = {
             "/control/fleet": {"GET": self._show_state}
         }
         for name, part in self._context.parts.items():
-            for path, methods in part.calls().items():
+            for path, methods in part.admin_routes().items():
                 if path in table:
-                    raise FleetPartError(f"{name}: {path} is a call of another part")
+                    raise FleetComponentError(f"{name}: {path} is a call of another part")
                 table[path] = methods
         return table
 
@@ -213,8 +215,8 @@
     def _on_lease_lost(self, error: LupinError) -> None:
         log.warning("lease lost", extra={"kv": {"why": error.line()}})
 
-    def _show_state(self, ask: Ask) -> Answer:
-        lease, now = self._tenure.lease, self._context.clock.now()
+    def _show_state(self, ask: AdminRequest) -> AdminResponse:
+        lease, now = self._process_lease.lease, self._context.clock.now()
         member, agreement = self._context.member, self._file.agreement
         seconds = max(1e-3, time.monotonic() - self._started_at)
         kinds = ", ".join(f"{kind} {n}" for kind, n in sorted(self._agreement.calls_by_kind.items()))
@@ -224,10 +226,12 @@
             "member": f"{member.name}, zone {member.zone}, version {member.version}"
             + (f", pool {member.pool}" if member.pool else ""),
             "agreement": where,
-            "lease": held if lease or not self._tenure.failures else f"none: {self._tenure.why}",
+            "lease": held
+            if lease or not self._process_lease.failures
+            else f"none: {self._process_lease.why}",
             "joined": "yes" if self._presence.known else "no",
             "calls": f"{self._agreement.calls} in {seconds:.0f} s, "
             f"{self._agreement.calls / seconds:.2f} a second ({kinds or 'none'})",
             "parts": ", ".join(self._context.parts) or "none",
         }
-        return Answer(200, "".join(f"{name:<10} {text}\n" for name, text in rows.items()))
+        return AdminResponse(200, "".join(f"{name:<10} {text}\n" for name, text in rows.items()))
--- a/lupinlink/net/fleet_extension.py
+++ b/lupinlink/net/fleet_extension.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 if TYPE_CHECKING:
-    from lupinlink.coordination.part import DoorCalls
+    from lupinlink.coordination.component import AdminRoutes
     from lupinlink.net.lifecycle import LifecycleState
     from lupinlink.net.request_types import ClientRequest
     from lupinlink.net.timer_wheel import ReactorClock
@@ -162,7 +162,7 @@
         """
         ...
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """Further calls of the management API; called once, before ``started``."""
         ...
 
--- a/lupinlink/net/fleet_host.py
+++ b/lupinlink/net/fleet_host.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 from urllib.parse import parse_qsl
 
-from lupinlink.coordination.part import Ask, DoorCall
+from lupinlink.coordination.component import AdminHandler, AdminRequest
 from lupinlink.interface import NEVER_RAN, Status
 from lupinlink.net.clients import Phase
 from lupinlink.net.components import Components
@@ -74,7 +74,7 @@
         return dict(self._by)
 
 
-def make_handler(call: DoorCall) -> Handler:
+def make_handler(call: AdminHandler) -> Handler:
     """A handler for the management API that parses the query for a call of the extension.
 
     It raises BadCallError with one line of text for a query that cannot be parsed.
@@ -95,7 +95,7 @@
         if len(fields) < len(pairs):
             duplicate = next(name for i, (name, _) in enumerate(pairs) if name in dict(pairs[:i]))
             raise BadCallError(400, f"query: {duplicate!r} is given twice")
-        answer = call(Ask(fields, body))
+        answer = call(AdminRequest(fields, body))
         return answer.status, answer.text
 
     return handle
@@ -122,7 +122,7 @@
     def calls(self, own_routes: RouteTable) -> RouteTable:
         """The routes of the management API: those of the service and those of the extension."""
         table = dict(own_routes)
-        for path, methods in self._fleet.calls().items():
+        for path, methods in self._fleet.admin_routes().items():
             if path in own_routes and path not in REPLACEABLE_PATHS:
                 raise ValueError(f"{path} is a call of the service itself")
             table[path] = {method: make_handler(call) for method, call in methods.items()}
--- a/lupinlink/net/fleet_release.py
+++ b/lupinlink/net/fleet_release.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from lupinlink.coordination.part import DoorCalls, Member
+from lupinlink.coordination.component import AdminRoutes, Member
 from lupinlink.net.lifecycle import LifecycleState
 from lupinlink.release.agent import ReleaseAgent
 from lupinlink.release.presence import Listed
@@ -107,8 +107,8 @@
         self._served = self._served or self.out_for_migration()
         return super()._report()
 
-    def calls(self) -> DoorCalls:
-        return {**super().calls(), **self.drains()}
+    def admin_routes(self) -> AdminRoutes:
+        return {**super().admin_routes(), **self.drains()}
 
 
 def make(context: FleetContext, settings: ReleaseSettings) -> Release:
@@ -118,7 +118,7 @@
     part = Release(
         context.agreement,
         context.clock,
-        context.tenure,
+        context.process_lease,
         host,
         settings,
         context.draw,
--- a/lupinlink/quota/loading.py
+++ b/lupinlink/quota/loading.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from lupinlink.coordination.contract import MOST_VALUE
+from lupinlink.coordination.contract import MAX_VALUE_BYTES
 from lupinlink.quota.cases import failed
 from lupinlink.quota.checks import checked
 from lupinlink.quota.errors import BadPolicyError, PolicyError, PolicyFileError, SyntaxFaultError
@@ -15,8 +15,8 @@
 
 def look(text: str, known: Known) -> tuple[Policy | None, list[PolicyError]]:
     """The policy, None if it is not to be used, and all that was found, in the order of the text."""
-    if len(text.encode()) > MOST_VALUE:
-        return None, [PolicyFileError(f"a policy has at most {MOST_VALUE} bytes", NOWHERE)]
+    if len(text.encode()) > MAX_VALUE_BYTES:
+        return None, [PolicyFileError(f"a policy has at most {MAX_VALUE_BYTES} bytes", NOWHERE)]
     try:
         policy, findings = read(text)
     except SyntaxFaultError as exc:
--- a/lupinlink/quota/sharing/agent.py
+++ b/lupinlink/quota/sharing/agent.py
@@ -15,10 +15,10 @@
 
 from lupinlink.clock import Clock
 from lupinlink.coordination.backoff import Backoff
+from lupinlink.coordination.component import AdminRoutes
 from lupinlink.coordination.contract import Agreement, Delete, Put, View, Watch
-from lupinlink.coordination.lead import Lead
-from lupinlink.coordination.part import DoorCalls
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.leader_election import LeaderElection
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.errors import LupinError
 from lupinlink.quota.sharing.allocator import Allocator
 from lupinlink.quota.sharing.door import Door
@@ -42,7 +42,7 @@
         self,
         agreement: Agreement,
         clock: Clock,
-        tenure: Tenure,
+        process_lease: ProcessLease,
         draw: Callable[[], float],
         terms: Terms,
         name: str,
@@ -71,7 +71,9 @@
             agreement, clock, self.gateway, terms, text, build, holding, changed, told, draw
         )
         self.settling = Settling(self.policies, terms, told)
-        self.lead = Lead(agreement, clock, tenure, LEAD, name, draw, self._became, self._lost)
+        self.lead = LeaderElection(
+            agreement, clock, process_lease, LEAD, name, draw, self._became, self._lost
+        )
         self.leading: Leading | None = None
         self._backoff = Backoff(terms.ask_ms, MOST_AGAIN_MS, draw)
         self._records = record_of((name, born))
@@ -112,9 +114,9 @@
         )
         return done.addCallbacks(lambda written: None, lambda failure: None)
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """``/control/quota`` and below it."""
-        return self._door.calls()
+        return self._door.admin_routes()
 
     def _tick(self) -> None:
         now = self._clock.now()
--- a/lupinlink/quota/sharing/door.py
+++ b/lupinlink/quota/sharing/door.py
@@ -10,8 +10,8 @@
 from twisted.python.failure import Failure
 
 from lupinlink.clock import Clock
+from lupinlink.coordination.component import AdminRequest, AdminResponse, AdminRoutes
 from lupinlink.coordination.contract import Agreement, Delete, Put, Step, View
-from lupinlink.coordination.part import Answer, Ask, DoorCalls
 from lupinlink.errors import LupinError
 from lupinlink.quota.sharing.errors import PolicyTooLargeError
 from lupinlink.quota.sharing.leading import record_of
@@ -46,45 +46,47 @@
         self._build, self._terms = build, terms
         self.last = ""  # what became of the last call that asked for something
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """By path and method."""
         return {
             "/control/quota": {
-                "GET": lambda ask: Answer(200, state(self._agent, self._clock.now(), self.last))
+                "GET": lambda ask: AdminResponse(200, state(self._agent, self._clock.now(), self.last))
             },
             "/control/quota/policy": {
-                "GET": lambda ask: Answer(200, self._agent.policies.now.settled.text),
+                "GET": lambda ask: AdminResponse(200, self._agent.policies.now.settled.text),
                 "PUT": self._put,
                 "DELETE": self._withdraw,
             },
             "/control/quota/forget": {"PUT": self._forget},
         }
 
-    def _put(self, ask: Ask) -> Answer:
+    def _put(self, ask: AdminRequest) -> AdminResponse:
         try:
             if len(ask.body) > MOST_TEXT:
                 raise PolicyTooLargeError(f"the text has {len(ask.body)} bytes")
             text = ask.body.decode()
             policy = self._build(text)
         except UnicodeDecodeError as exc:
-            return Answer(400, f"the policy is no UTF-8: {exc}\n")
+            return AdminResponse(400, f"the policy is no UTF-8: {exc}\n")
         except LupinError as error:
-            return Answer(400, error.line() + "\n")
+            return AdminResponse(400, error.line() + "\n")
         now = self._agent.policies.now
         coming = Text(policy.version, text, now.settled.holding)
         if coming.name == now.settled.name:
-            return Answer(200, f"{coming.name} is in force already\n")
+            return AdminResponse(200, f"{coming.name} is in force already\n")
         self._change(f"policy {coming.name}", lambda was: Policies(was.epoch + 1, was.settled, coming))
-        return Answer(202, f"{coming.name} is put beside {now.settled.name}{SEE}")
+        return AdminResponse(202, f"{coming.name} is put beside {now.settled.name}{SEE}")
 
-    def _withdraw(self, ask: Ask) -> Answer:
+    def _withdraw(self, ask: AdminRequest) -> AdminResponse:
         if (coming := self._agent.policies.now.coming) is None:
-            return Answer(409, "no version is coming; one that is settled is replaced by putting another\n")
+            return AdminResponse(
+                409, "no version is coming; one that is settled is replaced by putting another\n"
+            )
         why = f"{coming.name} was withdrawn by an operator"
         self._change(
             f"withdrawal of {coming.name}", lambda was: Policies(was.epoch + 1, was.settled, None, why)
         )
-        return Answer(202, f"{coming.name} is withdrawn{SEE}")
+        return AdminResponse(202, f"{coming.name} is withdrawn{SEE}")
 
     def _change(self, what: str, change: Callable[[Policies], Policies]) -> None:
         self.last = f"{what}: asked for"
@@ -101,10 +103,10 @@
 
         self._agreement.read(POLICY).addCallback(write).addErrback(self._failed, what)
 
-    def _forget(self, ask: Ask) -> Answer:
+    def _forget(self, ask: AdminRequest) -> AdminResponse:
         name = ask.query.get("name", "")
         if not name:
-            return Answer(400, "say which: PUT /control/quota/forget?name=NAME\n")
+            return AdminResponse(400, "say which: PUT /control/quota/forget?name=NAME\n")
         what = f"forget {name}"
         self.last = f"{what}: asked for"
 
@@ -118,7 +120,7 @@
             self._tell(what, self._agreement.commit(steps))
 
         self._agreement.read(ASKS + record_of((name, ""))).addCallback(write).addErrback(self._failed, what)
-        return Answer(202, f"the records of {name} are removed{SEE}")
+        return AdminResponse(202, f"the records of {name} are removed{SEE}")
 
     def _tell(self, what: str, done: object) -> None:
         from twisted.internet.defer import Deferred
--- a/lupinlink/quota/sharing/leading.py
+++ b/lupinlink/quota/sharing/leading.py
@@ -10,9 +10,9 @@
 from twisted.python.failure import Failure
 
 from lupinlink.clock import Clock
-from lupinlink.coordination.contract import MOST_STEPS, Agreement, Delete, Put, Record, Step, View
+from lupinlink.coordination.contract import MAX_STEPS, Agreement, Delete, Put, Record, Step, View
 from lupinlink.coordination.errors import LeaseLostError
-from lupinlink.coordination.lead import Lead
+from lupinlink.coordination.leader_election import LeaderElection
 from lupinlink.errors import LupinError
 from lupinlink.quota.sharing.allocator import Allocator
 from lupinlink.quota.sharing.book import Key
@@ -40,7 +40,7 @@
         self,
         agreement: Agreement,
         clock: Clock,
-        lead: Lead,
+        lead: LeaderElection,
         allocator: Allocator,
         terms: Terms,
         gateway: Gateway,
@@ -113,14 +113,14 @@
         if (ask.name, ask.born) != (self._gateway.name, self._gateway.born):
             self.allocator.book.hear(ask, now)
             if ask.fence > self.allocator.fence:
-                self._lead.heard(ask.fence)
+                self._lead.observe_fence(ask.fence)
 
     def _write(self, steps: Sequence[Step], own: Dealt | None) -> None:
         try:
             guard = self._lead.guard()
         except LeaseLostError:
             return  # what was dealt counts until its time is over; nobody has it
-        for i, part in enumerate(_parts(steps, MOST_STEPS - len(guard))):
+        for i, part in enumerate(_parts(steps, MAX_STEPS - len(guard))):
             done = self._agreement.commit([*guard, *part])
             if i == 0 and own is not None:
                 done.addCallback(self._own, own)
--- a/lupinlink/release/acting.py
+++ b/lupinlink/release/acting.py
@@ -10,9 +10,9 @@
 import logging
 
 from lupinlink.clock import Clock
-from lupinlink.coordination.contract import Agreement, Guarded
+from lupinlink.coordination.contract import Agreement, CheckRevision
 from lupinlink.coordination.errors import CoordinationError, UncertainError
-from lupinlink.coordination.fence import Seen
+from lupinlink.coordination.fence import HighestFence
 from lupinlink.release.host import Host
 from lupinlink.release.known import Known, known
 from lupinlink.release.records import PERMITS, Permit, Report
@@ -35,7 +35,7 @@
         host: Host,
         settings: ReleaseSettings,
         nonce: str,
-        seen: Seen,
+        seen: HighestFence,
     ) -> None:
         """``seen``: the highest fence this process has met; the reporter is handed in by ``report_by``."""
         self._agreement, self._clock, self._prefix = agreement, clock, prefix
@@ -103,7 +103,7 @@
         assert self._reporter is not None
         self.permit = permit
         try:
-            guard = Guarded(self._prefix + PERMITS, revision)
+            guard = CheckRevision(self._prefix + PERMITS, revision)
             try:
                 mine = await self._reporter.write([guard])
             except UncertainError:
--- a/lupinlink/release/agent.py
+++ b/lupinlink/release/agent.py
@@ -1,7 +1,7 @@
 """The release's part of one process: reports, acts on its permit, leads in its turn, answers the door.
 
-``ReleaseAgent`` is a ``lupinlink.coordination.part.Part``. It carries the pure decisions of this package over
-an ``Agreement``; all state that matters is in the service's records.
+``ReleaseAgent`` is a ``lupinlink.coordination.component.Component``. It carries the pure decisions of this
+package over an ``Agreement``; all state that matters is in the service's records.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from lupinlink.clock import Clock
+from lupinlink.coordination.component import AdminResponse, AdminRoutes
 from lupinlink.coordination.contract import Agreement, Step, View, Watch
-from lupinlink.coordination.fence import Seen
-from lupinlink.coordination.lead import Lead
-from lupinlink.coordination.part import Answer, DoorCalls
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.fence import HighestFence
+from lupinlink.coordination.leader_election import LeaderElection
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.release.acting import Acting
 from lupinlink.release.door import SILENT_MS, Door
 from lupinlink.release.errors import NoWordError, RecordError, RefusedPermitError, UnderWayError
@@ -40,7 +40,7 @@
         self,
         agreement: Agreement,
         clock: Clock,
-        tenure: Tenure,
+        process_lease: ProcessLease,
         host: Host,
         settings: ReleaseSettings,
         draw: Callable[[], float],
@@ -55,7 +55,7 @@
         self._nonce = nonce or "".join(f"{int(draw() * 65536.0):04x}" for _ in range(4))
         self.name = host.member.name
         self.known = Known()
-        self._seen, self._memory = Seen(), Memory()
+        self._seen, self._memory = HighestFence(), Memory()
         self._hearing = Hearing(settings.deaf_ms, clock.now())
         self.ordering = Ordering(agreement, clock, prefix, draw)
         self.acting = Acting(agreement, clock, prefix, host, settings, self._nonce, self._seen)
@@ -74,8 +74,8 @@
             agreement, clock, prefix, host, settings, self._hearing,
             lambda: self.ordering.halts_waiting > 0,
         )  # fmt: skip
-        self.lead = Lead(
-            agreement, clock, tenure, prefix + LEAD, self.name, draw, self.steering.became,
+        self.lead = LeaderElection(
+            agreement, clock, process_lease, prefix + LEAD, self.name, draw, self.steering.became,
             self.steering.lost, self._seen, lock_delay_ms=lock_delay_ms,
         )  # fmt: skip
         self.steering.led_by(self.lead)
@@ -99,11 +99,11 @@
         for part in (self.reporter, self.acting, self.steering, self.ordering, self.lead):
             part.stop()
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """Its own calls."""
-        return self._door.calls()
+        return self._door.admin_routes()
 
-    def drains(self) -> DoorCalls:
+    def drains(self) -> AdminRoutes:
         """What the service's own calls to drain become with a fleet file: they ask for a permit first."""
         return self._door.drains()
 
@@ -163,7 +163,7 @@
         """For how long nothing was heard of the service."""
         return self._hearing.silent_ms(self._clock.now())
 
-    def out_of_service(self, now: bool, why: str) -> Answer:
+    def out_of_service(self, now: bool, why: str) -> AdminResponse:
         """An operator's drain of this proxy. ``now``: without waiting for a permit."""
         if self.acting.ending:
             permit = self.acting.permit
@@ -176,15 +176,15 @@
         self.acting.want_out(why)
         if now:
             self._host.drain()
-            return Answer(200, "yes: it drains, without a permit until the lead has seen it\n")
+            return AdminResponse(200, "yes: it drains, without a permit until the lead has seen it\n")
         if self.acting.permit is not None:
-            return Answer(200, "yes: it drains by permit\n")
+            return AdminResponse(200, "yes: it drains by permit\n")
         reason = self.known.permits.proxies.waiting.get(self.name, "its lead has not answered yet")
         error = RefusedPermitError(reason)
-        return Answer(202, f"asked for: it drains once it has its permit; waiting because: {error}\n")
+        return AdminResponse(202, f"asked for: it drains once it has its permit; waiting because: {error}\n")
 
-    def in_service(self) -> Answer:
+    def in_service(self) -> AdminResponse:
         """An operator has it back in service; the permit is given back."""
         if self.acting.ending:
             raise UnderWayError(f"{self.name} is out for a release and will end; halt does not bring it back")
-        return Answer(200, "yes\n") if self.acting.want_in() else Answer(503, "no\n")
+        return AdminResponse(200, "yes\n") if self.acting.want_in() else AdminResponse(503, "no\n")
--- a/lupinlink/release/door.py
+++ b/lupinlink/release/door.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
+from lupinlink.coordination.component import AdminHandler, AdminRequest, AdminResponse, AdminRoutes
 from lupinlink.coordination.contract import Step, View
-from lupinlink.coordination.part import Answer, Ask, DoorCall, DoorCalls
 from lupinlink.release import orders, tables
 from lupinlink.release.errors import AskError, NoReleaseError, NoWordError, ReleaseError, UnknownNameError
 from lupinlink.release.known import Known, known, members
@@ -41,8 +41,8 @@
     def known(self) -> Known: ...
     def servers(self) -> Iterable[str]: ...
     def silent_ms(self) -> float: ...
-    def out_of_service(self, now: bool, why: str) -> Answer: ...
-    def in_service(self) -> Answer: ...
+    def out_of_service(self, now: bool, why: str) -> AdminResponse: ...
+    def in_service(self) -> AdminResponse: ...
 
 
 class Door:
@@ -51,7 +51,7 @@
     def __init__(self, side: Side, prefix: str) -> None:
         self._side, self._prefix = side, prefix
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """Paths of its own."""
         return {
             "/control/release": {"GET": _told("none", self._state)},
@@ -66,7 +66,7 @@
             "/control/permit/forget": {"PUT": _told("forget", self._forget)},
         }
 
-    def drains(self) -> DoorCalls:
+    def drains(self) -> AdminRoutes:
         """The service's own two calls, as they are with a fleet file."""
         return {
             "/control/out-of-service": {"PUT": _told("drain", self._out_of_service)},
@@ -76,14 +76,14 @@
     def _notes(self) -> list[str]:
         return [f"{note.what}: {note.outcome}" for note in self._side.ordering.notes]
 
-    def _state(self, ask: Ask) -> Answer:
+    def _state(self, ask: AdminRequest) -> AdminResponse:
         silent_s = self._side.silent_ms() / 1000.0
-        return Answer(200, tables.state(self._side.known, silent_s, self._notes(), self._side.name))
+        return AdminResponse(200, tables.state(self._side.known, silent_s, self._notes(), self._side.name))
 
-    def _permits(self, ask: Ask) -> Answer:
-        return Answer(200, tables.permits(self._side.known, self._notes()))
+    def _permits(self, ask: AdminRequest) -> AdminResponse:
+        return AdminResponse(200, tables.permits(self._side.known, self._notes()))
 
-    def _order(self, what: str, make: Callable[[Known], Sequence[Step]], halt: bool = False) -> Answer:
+    def _order(self, what: str, make: Callable[[Known], Sequence[Step]], halt: bool = False) -> AdminResponse:
         """Judge by what is known here, and ask for it. Fails: what ``make`` raises, NoWordError."""
         silent = self._side.silent_ms()
         if silent > SILENT_MS and not halt:
@@ -91,11 +91,11 @@
         make(self._side.known)
         return self._give(what, lambda view: make(known(view, self._prefix)), halt)
 
-    def _give(self, what: str, make: Make, halt: bool = False, below: str = RELEASE) -> Answer:
+    def _give(self, what: str, make: Make, halt: bool = False, below: str = RELEASE) -> AdminResponse:
         self._side.ordering.give(what, make, halt, below)
-        return Answer(202, f"asked for: {what}; GET /control/release tells what became of it\n")
+        return AdminResponse(202, f"asked for: {what}; GET /control/release tells what became of it\n")
 
-    def _start(self, ask: Ask) -> Answer:
+    def _start(self, ask: AdminRequest) -> AdminResponse:
         query = ask.query
         kind, restart = query.get("kind", "proxies"), _yes(ask, "restart")
         if kind not in ("proxies", "servers"):
@@ -109,43 +109,43 @@
         )  # fmt: skip
         return self._order(f"start {version or kind}", lambda state: orders.start(state, wished))
 
-    def _by(self, ask: Ask) -> str:
+    def _by(self, ask: AdminRequest) -> str:
         return ask.query.get("by", "") or f"an operator at {self._side.name}"
 
-    def _halt(self, ask: Ask) -> Answer:
+    def _halt(self, ask: AdminRequest) -> AdminResponse:
         by, why = self._by(ask), ask.query.get("why", "") or "asked for"
         return self._order("halt", lambda state: orders.halt(state, by, why), halt=True)
 
-    def _number(self, ask: Ask) -> int:
+    def _number(self, ask: AdminRequest) -> int:
         """The halt that the operator means: the one named, or the one shown here."""
         named = ask.query.get("halt", str(self._side.known.halt.number))
         if not named.isdecimal():
             raise AskError(f"halt={named}; allowed: the number of a halt")
         return int(named)
 
-    def _go_on(self, ask: Ask) -> Answer:
+    def _go_on(self, ask: AdminRequest) -> AdminResponse:
         number, by, accept = self._number(ask), self._by(ask), _yes(ask, "accept")
         return self._order(
             f"go on after halt {number}", lambda state: orders.go_on(state, number, by, accept)
         )
 
-    def _back(self, ask: Ask) -> Answer:
+    def _back(self, ask: AdminRequest) -> AdminResponse:
         number, by = self._number(ask), self._by(ask)
         return self._order("back", lambda state: orders.back(state, number, by))
 
-    def _wanted(self, ask: Ask) -> Answer:
+    def _wanted(self, ask: AdminRequest) -> AdminResponse:
         """The version to start a member with; for what starts the processes."""
         name, state = _needed(ask, "name"), self._side.known
         permit = state.permits.proxies.held.get(name)
         if permit is not None and permit.version:
-            return Answer(200, permit.version + "\n")
+            return AdminResponse(200, permit.version + "\n")
         if state.plan is not None and name in state.plan.members:
             placed = state.plan.members[name]
             going = placed.trips > 0 or state.plan.ended or state.plan.back
-            return Answer(200, (state.plan.wants(name) if going else placed.old) + "\n")
+            return AdminResponse(200, (state.plan.wants(name) if going else placed.old) + "\n")
         raise NoReleaseError(f"no release says what {name} is to be: start it as it was")
 
-    def _server_out(self, ask: Ask) -> Answer:
+    def _server_out(self, ask: AdminRequest) -> AdminResponse:
         name, by = _needed(ask, "server"), self._by(ask)
         state = self._side.known
         if not any(server == name for server in self._side.servers()):
@@ -155,11 +155,11 @@
             raise NoReleaseError(f"{name} is out for release {plan.id}; it is done when that is")
         return self._order(f"take server {name} out", lambda now: orders.server_out(now, name, by))
 
-    def _server_in(self, ask: Ask) -> Answer:
+    def _server_in(self, ask: AdminRequest) -> AdminResponse:
         name = _needed(ask, "server")
         return self._order(f"take server {name} in", lambda state: orders.server_in(state, name))
 
-    def _forget(self, ask: Ask) -> Answer:
+    def _forget(self, ask: AdminRequest) -> AdminResponse:
         name = _needed(ask, "name")
 
         def make(view: View) -> Sequence[Step]:
@@ -167,14 +167,14 @@
 
         return self._give(f"forget {name}", make, below=MEMBERS + name)
 
-    def _out_of_service(self, ask: Ask) -> Answer:
+    def _out_of_service(self, ask: AdminRequest) -> AdminResponse:
         return self._side.out_of_service(_yes(ask, "now"), f"drain, {self._by(ask)}")
 
 
-def _told(name: str, call: DoorCall) -> DoorCall:
+def _told(name: str, call: AdminHandler) -> AdminHandler:
     """A call whose no is told in one line: the reason's code, what happened, what to do."""
 
-    def made(ask: Ask) -> Answer:
+    def made(ask: AdminRequest) -> AdminResponse:
         try:
             unknown = set(ask.query) - FIELDS[name]
             if unknown:
@@ -182,19 +182,19 @@
                 raise AskError(f"{min(unknown)}= is not known here; allowed: {allowed}")
             return call(ask)
         except ReleaseError as exc:
-            return Answer(exc.status, exc.line() + "\n")
+            return AdminResponse(exc.status, exc.line() + "\n")
 
     return made
 
 
-def _needed(ask: Ask, field: str) -> str:
+def _needed(ask: AdminRequest, field: str) -> str:
     value = ask.query.get(field, "")
     if not value:
         raise AskError(f"{field}= is needed")
     return value
 
 
-def _yes(ask: Ask, field: str) -> bool:
+def _yes(ask: AdminRequest, field: str) -> bool:
     value = ask.query.get(field, "0")
     if value not in ("0", "1"):
         raise AskError(f"{field}={value}; allowed: 0, 1")
--- a/lupinlink/release/host.py
+++ b/lupinlink/release/host.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Protocol
 
-from lupinlink.coordination.part import Member
+from lupinlink.coordination.component import Member
 from lupinlink.release.presence import Listed
 from lupinlink.release.records import Figures
 
--- a/lupinlink/release/ordering.py
+++ b/lupinlink/release/ordering.py
@@ -15,7 +15,7 @@
 
 from lupinlink.clock import Clock
 from lupinlink.coordination.backoff import Backoff
-from lupinlink.coordination.contract import Agreement, Delete, Guarded, Put, Step, View
+from lupinlink.coordination.contract import Agreement, CheckRevision, Delete, Put, Step, View
 from lupinlink.coordination.errors import ConflictError, CoordinationError, UncertainError
 from lupinlink.errors import LupinError
 from lupinlink.release.records import RELEASE
@@ -95,5 +95,5 @@
 
 
 def _below(prefix: str, step: Step) -> Step:
-    assert isinstance(step, Put | Delete | Guarded)
+    assert isinstance(step, Put | Delete | CheckRevision)
     return replace(step, key=prefix + step.key)
--- a/lupinlink/release/orders.py
+++ b/lupinlink/release/orders.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from lupinlink.coordination.contract import Delete, Guarded, Put, Step
+from lupinlink.coordination.contract import CheckRevision, Delete, Put, Step
 from lupinlink.release.errors import (
     HaltedError,
     NoReleaseError,
@@ -64,8 +64,8 @@
     )  # fmt: skip
     return [
         Put(ORDER, encoded(order), known.revision(ORDER)),
-        Guarded(PLAN, known.revision(PLAN)),
-        Guarded(HALT, known.revision(HALT)),
+        CheckRevision(PLAN, known.revision(PLAN)),
+        CheckRevision(HALT, known.revision(HALT)),
     ]
 
 
@@ -112,12 +112,12 @@
         sent.pool, sent.zone = order.pool, order.zone
     steps: list[Step] = [
         Put(ORDER, encoded(sent), known.revision(ORDER)),
-        Guarded(PLAN, known.revision(PLAN)),
+        CheckRevision(PLAN, known.revision(PLAN)),
     ]
     if known.halt.stands:
         steps.append(_lift(known, number, by, "back"))
     else:
-        steps.append(Guarded(HALT, known.revision(HALT)))
+        steps.append(CheckRevision(HALT, known.revision(HALT)))
     return steps
 
 
--- a/lupinlink/release/reporter.py
+++ b/lupinlink/release/reporter.py
@@ -15,7 +15,7 @@
 
 from lupinlink.clock import Clock
 from lupinlink.coordination.backoff import Backoff
-from lupinlink.coordination.contract import ABSENT, Agreement, Guarded, Put, Record, Step
+from lupinlink.coordination.contract import ABSENT, Agreement, CheckRevision, Put, Record, Step
 from lupinlink.coordination.errors import ConflictError, UncertainError
 from lupinlink.errors import LupinError
 from lupinlink.release.errors import RecordError, SameNameError
@@ -110,7 +110,7 @@
         else:
             self._backoff.reset()
 
-    async def write(self, guards: Sequence[Guarded] = ()) -> Report | None:
+    async def write(self, guards: Sequence[CheckRevision] = ()) -> Report | None:
         """Write the report with these guards in one commit; what stands there now, None: another process's.
 
         Fails: as ``Agreement.commit``. After UncertainError or ConflictError ``standing`` was read anew.
@@ -121,7 +121,7 @@
         finally:
             self._lock.release()
 
-    async def _commit(self, guards: Sequence[Guarded]) -> Report | None:
+    async def _commit(self, guards: Sequence[CheckRevision]) -> Report | None:
         if not self._life:
             await self._read()
         if self.aside or self._stopped:
--- a/lupinlink/release/steering.py
+++ b/lupinlink/release/steering.py
@@ -11,10 +11,10 @@
 from dataclasses import replace
 
 from lupinlink.clock import Clock
-from lupinlink.coordination.contract import Agreement, Guarded, Put, Record, Step, View
+from lupinlink.coordination.contract import Agreement, CheckRevision, Put, Record, Step, View
 from lupinlink.coordination.errors import CoordinationError
-from lupinlink.coordination.history import restored
-from lupinlink.coordination.lead import Lead
+from lupinlink.coordination.leader_election import LeaderElection
+from lupinlink.coordination.restore_detection import restored
 from lupinlink.errors import LupinError
 from lupinlink.release.course import Course, Decision
 from lupinlink.release.hearing import Hearing
@@ -46,7 +46,7 @@
         """``held_up``: whether an order of this process's own, such as a halt, is still to be written."""
         self._agreement, self._clock, self._prefix = agreement, clock, prefix
         self._host, self._settings, self._hearing, self._held_up = host, settings, hearing, held_up
-        self._lead: Lead | None = None
+        self._lead: LeaderElection | None = None
         self._course: Course | None = None
         self._presence: Presence | None = None
         self._before: View | None = None
@@ -58,7 +58,7 @@
         self._wrote_ms = -TEXTS_MS
         self.steps = self.conflicts = 0
 
-    def led_by(self, lead: Lead) -> None:
+    def led_by(self, lead: LeaderElection) -> None:
         """The two need each other."""
         self._lead = lead
 
@@ -116,7 +116,7 @@
         self._before, self._restored = reports, False
         state = known(self._view, self._prefix)
         facts = self._facts(reports, state, went_back)
-        self._lead.heard(max((r.fence for r in self._presence.reports.values()), default=0))
+        self._lead.observe_fence(max((r.fence for r in self._presence.reports.values()), default=0))
         decision = course.step(state, facts)
         self.steps += 1
         if decision.puts and not self._held_up() and self._due(decision):
@@ -146,7 +146,7 @@
         assert self._lead is not None
         prefix = self._prefix
         steps: list[Step] = list(self._lead.guard())
-        steps += [Guarded(prefix + key, revision) for key, revision in decision.guards.items()]
+        steps += [CheckRevision(prefix + key, revision) for key, revision in decision.guards.items()]
         steps += [Put(prefix + key, value, state.revision(key)) for key, value in decision.encoded().items()]
         try:
             written = await self._agreement.commit(steps)
--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -15,15 +15,15 @@
 
 from twisted.internet import reactor
 
-from lupinlink.coordination.client import Client
-from lupinlink.coordination.consul import ConsulWire, Place
-from lupinlink.coordination.ledger import Saved
-from lupinlink.coordination.memory import MemoryService, MemoryWire
-from lupinlink.coordination.pace import Pacing
+from lupinlink.coordination.client import AgreementClient
+from lupinlink.coordination.consul import ConsulSettings, ConsulTransport
+from lupinlink.coordination.kv_store import StoreSnapshot
+from lupinlink.coordination.memory import MemoryService, MemoryTransport
+from lupinlink.coordination.rate_limit import CallTiming
 from lupinlink.net.timer_wheel import ReactorClock
 from tests.proxy_process import ROOT
 
-PACING = Pacing(ask_ms=20.0, wait_ms=150.0, again_ms=50.0)
+PACING = CallTiming(ask_ms=20.0, wait_ms=150.0, retry_ms=50.0)
 LOCK_DELAY_MS = 200.0
 CALL_MS = 400.0
 
@@ -34,13 +34,13 @@
     def __init__(self) -> None:
         self.clock = ReactorClock(reactor)
         self._service = MemoryService(self.clock, LOCK_DELAY_MS, late=1.5)
-        self._wires: list[MemoryWire] = []
-        self._saved = Saved(1)
+        self._wires: list[MemoryTransport] = []
+        self._saved = StoreSnapshot(1)
 
-    def client(self) -> Client:
-        wire = self._service.wire()
-        self._wires.append(wire)
-        return Client(wire, self.clock, random.Random(len(self._wires)).random, PACING)
+    def client(self) -> AgreementClient:
+        transport = self._service.transport()
+        self._wires.append(transport)
+        return AgreementClient(transport, self.clock, random.Random(len(self._wires)).random, PACING)
 
     def cut(self, number: int, on: bool = True) -> None:
         """One client's calls do not arrive, or do again."""
@@ -51,12 +51,12 @@
         self._service.changed()
 
     def busy(self, on: bool = True) -> None:
-        for wire in self._wires:
-            wire.busy = on
+        for transport in self._wires:
+            transport.busy = on
 
     def lose_answer(self) -> None:
-        for wire in self._wires:
-            wire.lost_answers = 1
+        for transport in self._wires:
+            transport.lost_responses = 1
 
     def save(self) -> None:
         self._saved = self._service.save()
@@ -90,16 +90,16 @@
         self.clock = ReactorClock(reactor)
         self._prefix = f"run{next(self._run)}/"
         self._hosts: list[str] = []
-        self._wires: list[ConsulWire] = []
+        self._wires: list[ConsulTransport] = []
         self._faults: set[str] = set()
 
-    def client(self) -> Client:
+    def client(self) -> AgreementClient:
         host = f"127.0.1.{len(self._hosts) + 1}"
-        place = Place(host, self._ports["port"], self._prefix, "", CALL_MS, LOCK_DELAY_MS)
-        wire = ConsulWire(reactor, place)
+        place = ConsulSettings(host, self._ports["port"], self._prefix, "", CALL_MS, LOCK_DELAY_MS)
+        transport = ConsulTransport(reactor, place)
         self._hosts.append(host)
-        self._wires.append(wire)
-        return Client(wire, self.clock, random.Random(len(self._hosts)).random, PACING)
+        self._wires.append(transport)
+        return AgreementClient(transport, self.clock, random.Random(len(self._hosts)).random, PACING)
 
     def call(self, what: str, method: str = "PUT", **body: Any) -> Any:
         """A call to the service's control port."""
@@ -161,8 +161,8 @@
     def close(self) -> None:
         for kind in list(self._faults):
             self._fault(kind, False)
-        for wire in self._wires:
-            wire.stop()
+        for transport in self._wires:
+            transport.stop()
 
     @classmethod
     def end(cls) -> None:
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -8,13 +8,13 @@
 
 from twisted.python.failure import Failure
 
-from lupinlink.coordination.client import Client
+from lupinlink.coordination.client import AgreementClient
 from lupinlink.coordination.contract import Put, Record, Step
 from lupinlink.coordination.errors import CoordinationError
-from lupinlink.coordination.fence import Seen
-from lupinlink.coordination.lead import Lead
+from lupinlink.coordination.fence import HighestFence
+from lupinlink.coordination.leader_election import LeaderElection
 from lupinlink.coordination.memory import MemoryService
-from lupinlink.coordination.tenure import Tenure
+from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.lab.model.clock import VirtualClock
 
 TTL_MS = 10000.0
@@ -54,17 +54,25 @@
 
     def __init__(self, service: MemoryService, clock: VirtualClock, number: int) -> None:
         self.clock = StoppableClock(clock)
-        self.wire = service.wire(self.clock)
+        self.transport = service.transport(self.clock)
         draw = random.Random(number).random
-        self.client = Client(self.wire, self.clock, draw)
-        self.tenure = Tenure(self.client, self.clock, TTL_MS, draw)
-        self.seen = Seen()
+        self.client = AgreementClient(self.transport, self.clock, draw)
+        self.process_lease = ProcessLease(self.client, self.clock, TTL_MS, draw)
+        self.seen = HighestFence()
         self.became: list[int] = []
         self.lost = self.failed = 0
-        self.lead = Lead(
-            self.client, self.clock, self.tenure, KEY, f"p{number}", draw, self._became, self._lost, self.seen
+        self.lead = LeaderElection(
+            self.client,
+            self.clock,
+            self.process_lease,
+            KEY,
+            f"p{number}",
+            draw,
+            self._became,
+            self._lost,
+            self.seen,
         )
-        self.tenure.start()
+        self.process_lease.start()
         self.lead.start()
 
     def _became(self, fence: int) -> None:
@@ -75,7 +83,7 @@
 
     def decide(self) -> Callable[[], None]:
         """Something to write under its lead, as far as it believes in one now; it is written when called."""
-        if not self.lead.leads:
+        if not self.lead.is_leader:
             return lambda: None
         value = b"%d %d" % (self.lead.fence, next(_numbers))  # an equal one would be no change
         steps: list[Step] = [*self.lead.guard(), Put("work", value, None)]
@@ -95,7 +103,7 @@
 
     def __init__(self, service: MemoryService) -> None:
         self.fences: list[int] = []
-        ledger, do = service.ledger, service.ledger.commit
+        store, do = service.store, service.store.commit
 
         def commit(steps: list[Step], now: float) -> dict[str, Record]:
             written = do(steps, now)
@@ -103,4 +111,4 @@
                             if isinstance(step, Put) and step.key == "work"]  # fmt: skip
             return written
 
-        ledger.commit = commit  # type: ignore[method-assign, assignment]
+        store.commit = commit  # type: ignore[method-assign, assignment]
--- a/tests/release_fleet.py
+++ b/tests/release_fleet.py
@@ -29,7 +29,7 @@
     def __init__(self, **more: int) -> None:
         super().__init__(10, settings(**more), zones=3, make_clock=StoppableClock)
         self.fences: list[int] = []
-        do = self.service.ledger.commit
+        do = self.service.store.commit
 
         def commit(steps: list[Step], now: float) -> dict[str, Record]:
             written = do(steps, now)
@@ -38,7 +38,7 @@
             ]
             return written
 
-        self.service.ledger.commit = commit  # type: ignore[method-assign, assignment]
+        self.service.store.commit = commit  # type: ignore[method-assign, assignment]
         self.run(30.0)
 
     def begin(self) -> None:
@@ -54,7 +54,7 @@
         return self.known()
 
     def lead(self) -> Place:
-        return next(p for p in self.places.values() if p.agent is not None and p.agent.lead.leads)
+        return next(p for p in self.places.values() if p.agent is not None and p.agent.lead.is_leader)
 
     def stop(self, place: Place, stopped: bool) -> None:
         assert isinstance(place.clock, StoppableClock)
--- a/tests/release_world.py
+++ b/tests/release_world.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from lupinlink.coordination.contract import Guarded, Held, Put, Step, Take, View
+from lupinlink.coordination.contract import CheckHolder, CheckRevision, Lock, Put, Step, View
 from lupinlink.coordination.errors import ConflictError, LeaseLostError
-from lupinlink.coordination.history import restored
-from lupinlink.coordination.ledger import Ledger
+from lupinlink.coordination.kv_store import KvStore
+from lupinlink.coordination.restore_detection import restored
 from lupinlink.release.course import Course
 from lupinlink.release.halts import Memory, halted
 from lupinlink.release.known import Facts, Known, known, members
@@ -32,7 +32,7 @@
     """All of it. Every change of the records is a commit to the ledger."""
 
     now: float = 0.0
-    ledger: Ledger = field(default_factory=lambda: Ledger(0.0))
+    store: KvStore = field(default_factory=lambda: KvStore(0.0))
     processes: dict[str, Process] = field(default_factory=dict)
     memory: Memory = field(default_factory=Memory)
     begins: Counter[tuple[str, bool, str]] = field(default_factory=Counter)  # plan, way back, name
@@ -42,20 +42,20 @@
     def __post_init__(self) -> None:
         self.processes = {f"p{i}": Process(f"p{i}", "ab"[i % 2]) for i in range(6)}
         self.leads = [self._leader(f"lead{i}") for i in range(2)]
-        self.saved = self.ledger.save()
+        self.saved = self.store.save()
         for process in self.processes.values():
             self.tell(process)
 
     def _leader(self, name: str) -> Leader:
-        return Leader(name, Presence(SETTINGS, self.now), self.ledger.open(1e12, self.now))
+        return Leader(name, Presence(SETTINGS, self.now), self.store.open(1e12, self.now))
 
     def known(self) -> Known:
-        records, index = self.ledger.read(RELEASE, self.now)
+        records, index = self.store.read(RELEASE, self.now)
         return known(View(RELEASE, records, index, self.now), "")
 
     def commit(self, *steps: Step) -> bool:
         try:
-            self.ledger.commit(list(steps), self.now)
+            self.store.commit(list(steps), self.now)
         except (ConflictError, LeaseLostError):
             return False
         if any(step.key in (HALT, ORDER) for step in steps):
@@ -82,7 +82,7 @@
         """Read all and decide; whether it leads still is for the commit to tell."""
         if leader.course is None:
             return
-        records, index = self.ledger.read(MEMBERS, self.now)
+        records, index = self.store.read(MEMBERS, self.now)
         view = View(MEMBERS, records, index, self.now)
         went_back = leader.before is not None and restored(leader.before, view)
         leader.before = view
@@ -106,16 +106,16 @@
         if not decision.puts:
             return False
         puts = [Put(key, encoded(record), state.revision(key)) for key, record in decision.puts.items()]
-        guards = [Guarded(key, revision) for key, revision in decision.guards.items()]
-        return self.commit(Held(LEAD, leader.lease), *guards, *puts)
+        guards = [CheckRevision(key, revision) for key, revision in decision.guards.items()]
+        return self.commit(CheckHolder(LEAD, leader.lease), *guards, *puts)
 
     def take_lead(self, leader: Leader) -> None:
         """The service ends the other's lease, who may not know it, and this one takes the record."""
-        for lease in list(self.ledger.grants):
-            self.ledger.end(lease, self.now)
-        leader.lease = self.ledger.open(1e12, self.now)
+        for lease in list(self.store.grants):
+            self.store.end(lease, self.now)
+        leader.lease = self.store.open(1e12, self.now)
         self.fences += 1
-        if self.commit(Take(LEAD, b"%d" % self.fences, leader.lease)):
+        if self.commit(Lock(LEAD, b"%d" % self.fences, leader.lease)):
             leader.fence = self.fences
             leader.course = Course(SETTINGS, leader.name, leader.fence)
 
@@ -136,7 +136,7 @@
             return
         process.begun, process.acts = permit.number, permit.plan
         report = encoded(process.report())
-        guard = Guarded(PERMITS, state.revision(PERMITS))
+        guard = CheckRevision(PERMITS, state.revision(PERMITS))
         if not self.commit(guard, Put(MEMBERS + process.name, report, None)):
             process.begun, process.acts = 0, ""
             return
@@ -197,12 +197,12 @@
         self.commit(
             Put(ORDER, encoded(order), state.revision(ORDER)),
             Put(HALT, encoded(lifted), state.revision(HALT)),
-            Guarded(PLAN, state.revision(PLAN)),
+            CheckRevision(PLAN, state.revision(PLAN)),
         )  # fmt: skip
 
     def restore(self) -> None:
         """The service goes back; whoever remembers a halt, or the way back, says it again."""
-        self.ledger.restore(self.saved, self.now)
+        self.store.restore(self.saved, self.now)
         state = self.known()
         halt, order = self.memory.missing(state.halt, state.order)
         if halt is not None:
--- a/tests/scripted_extension.py
+++ b/tests/scripted_extension.py
@@ -14,8 +14,8 @@
 from dataclasses import asdict
 from functools import partial
 
-from lupinlink.commands.told import told_off
-from lupinlink.coordination.part import Answer, Ask, DoorCalls
+from lupinlink.commands.input_errors import report_input_error
+from lupinlink.coordination.component import AdminRequest, AdminResponse, AdminRoutes
 from lupinlink.net.fleet_extension import ExtensionHost, Refusal
 from lupinlink.net.proxy import ClientRequest
 from lupinlink.net.service import serve
@@ -37,7 +37,7 @@
         assert self._host is not None
         print(f"msg=stopping-told ends_soon={self._host.ends_soon}", file=sys.stderr, flush=True)
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         return {"/control/fleet": {"GET": self._show, "PUT": self._act, "POST": self._echo}}
 
     def admits(self, call: ClientRequest) -> Refusal | None:
@@ -51,7 +51,7 @@
     def settled(self) -> Callable[[ClientRequest], None]:
         return lambda call: self._finished.append(f"{call.identity} {call.address}")
 
-    def _show(self, ask: Ask) -> Answer:
+    def _show(self, ask: AdminRequest) -> AdminResponse:
         host = self._host
         assert host is not None
         shown = {
@@ -60,26 +60,26 @@
             "outcomes": host.outcomes(), "held": sorted(host.busy_servers()),
             "servers": host.servers(), "asked": self._admission_checks, "settled": self._finished,
         }  # fmt: skip
-        return Answer(200, json.dumps(shown))
+        return AdminResponse(200, json.dumps(shown))
 
-    def _act(self, ask: Ask) -> Answer:
+    def _act(self, ask: AdminRequest) -> AdminResponse:
         host = self._host
         assert host is not None
         action = ask.query.get("do", "")
         if action == "drain":
             host.drain()
         elif action == "in-service":
-            return Answer(200 if host.in_service() else 409, "in service\n")
+            return AdminResponse(200 if host.in_service() else 409, "in service\n")
         elif action == "end":
             host.end()
         elif action == "withhold":
             host.withhold(frozenset(ask.query["names"].split()))
         else:
-            return Answer(422, f"do: {action!r} is none of drain, in-service, end, withhold")
-        return Answer(202, f"{action}\n")
+            return AdminResponse(422, f"do: {action!r} is none of drain, in-service, end, withhold")
+        return AdminResponse(202, f"{action}\n")
 
-    def _echo(self, ask: Ask) -> Answer:
-        return Answer(200, f"{len(ask.body)} {ask.body[-1:].decode()} {dict(ask.query)}\n")
+    def _echo(self, ask: AdminRequest) -> AdminResponse:
+        return AdminResponse(200, f"{len(ask.body)} {ask.body[-1:].decode()} {dict(ask.query)}\n")
 
 
 if __name__ == "__main__":
@@ -92,4 +92,4 @@
             )
         )
     except SettingsError as exc:
-        sys.exit(told_off(exc))
+        sys.exit(report_input_error(exc))
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,16 +8,16 @@
 
 from lupinlink.coordination.contract import (
     ABSENT,
-    MOST_STEPS,
-    MOST_VALUE,
+    MAX_STEPS,
+    MAX_VALUE_BYTES,
+    CheckRevision,
     Delete,
-    Guarded,
     Put,
 )  # fmt: skip
 from lupinlink.coordination.errors import (
     BusyError,
     ConflictError,
-    TooMuchError,
+    InvalidRequestError,
     UncertainError,
     UnreachableError,
 )  # fmt: skip
@@ -32,7 +32,9 @@
     async def test_a_commit_is_whole_or_nothing(self: Any) -> None:
         await self.fails(ConflictError, Put("r/a", b"1", ABSENT), Put("r/b", b"1", 7))
         self.assertIsNone(await self.value("r/a"))
-        done = await self.a.commit([Put("r/a", b"1", ABSENT), Put("r/b", b"2", None), Guarded("r/c", ABSENT)])
+        done = await self.a.commit(
+            [Put("r/a", b"1", ABSENT), Put("r/b", b"2", None), CheckRevision("r/c", ABSENT)]
+        )
         self.assertEqual({k: r.value for k, r in done.items()}, {"r/a": b"1", "r/b": b"2"})
         self.assertEqual(done, (await self.b.read("r/")).records)
 
@@ -43,9 +45,9 @@
         self.assertGreater(after.revision, before.revision)
         await self.fails(ConflictError, Put("r", b"b", before.revision), by=self.b)
         await self.fails(ConflictError, Put("r", b"b", ABSENT), by=self.b)
-        await self.fails(ConflictError, Guarded("r", before.revision), Put("s", b"", None), by=self.b)
-        await self.fails(ConflictError, Guarded("r", ABSENT), Put("s", b"", None), by=self.b)
-        same = (await self.b.commit([Guarded("r", after.revision), Put("r", b"a", None)]))["r"]
+        await self.fails(ConflictError, CheckRevision("r", before.revision), Put("s", b"", None), by=self.b)
+        await self.fails(ConflictError, CheckRevision("r", ABSENT), Put("s", b"", None), by=self.b)
+        same = (await self.b.commit([CheckRevision("r", after.revision), Put("r", b"a", None)]))["r"]
         self.assertEqual(same, after)  # it changed nothing
 
     @plays
@@ -59,12 +61,12 @@
 
     @plays
     async def test_what_is_too_much_is_refused(self: Any) -> None:
-        await self.a.commit([Put(f"r/{i}", b"", None) for i in range(MOST_STEPS)])
-        await self.fails(TooMuchError, *(Put(f"r/{i}", b"", None) for i in range(MOST_STEPS + 1)))
-        await self.fails(TooMuchError, *(Delete(f"r/{i}", 1) for i in range(MOST_STEPS // 2 + 1)))
-        await self.fails(TooMuchError, Put("r", b"x" * (MOST_VALUE + 1), None))
-        await self.fails(TooMuchError, Put("", b"", None))
-        await self.fails(TooMuchError)
+        await self.a.commit([Put(f"r/{i}", b"", None) for i in range(MAX_STEPS)])
+        await self.fails(InvalidRequestError, *(Put(f"r/{i}", b"", None) for i in range(MAX_STEPS + 1)))
+        await self.fails(InvalidRequestError, *(Delete(f"r/{i}", 1) for i in range(MAX_STEPS // 2 + 1)))
+        await self.fails(InvalidRequestError, Put("r", b"x" * (MAX_VALUE_BYTES + 1), None))
+        await self.fails(InvalidRequestError, Put("", b"", None))
+        await self.fails(InvalidRequestError)
 
     @plays
     async def test_a_watch_tells_the_present_each_change_and_that_nothing_changed(self: Any) -> None:
--- a/tests/test_agreement_leases.py
+++ b/tests/test_agreement_leases.py
@@ -8,10 +8,10 @@
 from twisted.trial.unittest import TestCase
 
 from lupinlink.coordination.contract import (
-    Drop,
-    Held,
+    CheckHolder,
+    Lock,
     Put,
-    Take,
+    Unlock,
 )  # fmt: skip
 from lupinlink.coordination.errors import (
     ConflictError,
@@ -29,45 +29,45 @@
     async def test_a_record_is_held_by_one_lease(self: Any) -> None:
         first, second = await self.lease(self.a), await self.lease(self.b)
         self.assertTrue(first.holds() and first.until_ms() > self.service.clock.now())
-        done = (await self.a.commit([Take("r", b"1", first.name), Held("r", first.name)]))["r"]
-        self.assertEqual((done.lease, done.taken), (first.name, 1))
-        await self.fails(ConflictError, Take("r", b"2", second.name), by=self.b)
-        await self.fails(ConflictError, Held("r", second.name), Put("s", b"", None), by=self.b)
-        await self.fails(ConflictError, Drop("r", b"2", second.name), by=self.b)
-        again = (await self.a.commit([Take("r", b"3", first.name)]))["r"]
-        self.assertEqual((again.lease, again.taken), (first.name, 1))
-        free = (await self.a.commit([Drop("r", b"4", first.name)]))["r"]
+        done = (await self.a.commit([Lock("r", b"1", first.name), CheckHolder("r", first.name)]))["r"]
+        self.assertEqual((done.lease, done.lock_count), (first.name, 1))
+        await self.fails(ConflictError, Lock("r", b"2", second.name), by=self.b)
+        await self.fails(ConflictError, CheckHolder("r", second.name), Put("s", b"", None), by=self.b)
+        await self.fails(ConflictError, Unlock("r", b"2", second.name), by=self.b)
+        again = (await self.a.commit([Lock("r", b"3", first.name)]))["r"]
+        self.assertEqual((again.lease, again.lock_count), (first.name, 1))
+        free = (await self.a.commit([Unlock("r", b"4", first.name)]))["r"]
         self.assertEqual((free.value, free.lease), (b"4", ""))
-        await self.fails(ConflictError, Held("r", first.name), Put("s", b"", None))
-        taken = (await self.b.commit([Take("r", b"5", second.name)]))["r"]  # at once: it was let go
-        self.assertEqual((taken.lease, taken.taken), (second.name, 2))
+        await self.fails(ConflictError, CheckHolder("r", first.name), Put("s", b"", None))
+        taken = (await self.b.commit([Lock("r", b"5", second.name)]))["r"]  # at once: it was let go
+        self.assertEqual((taken.lease, taken.lock_count), (second.name, 2))
 
     @plays
     async def test_what_an_ended_lease_held_is_free_after_the_lock_delay(self: Any) -> None:
         first, second = await self.lease(self.a), await self.lease(self.b)
-        await self.a.commit([Take("r", b"1", first.name)])
+        await self.a.commit([Lock("r", b"1", first.name)])
         told = self.told(self.b, "r")
         await told.until(lambda: "r" in told.values)
         name = first.name
         self.service.expire(name)
         await told.until(lambda: told.views[-1].records["r"].lease == "")
         for lease in (name, ""):  # the second as a lost lease calls itself
-            await self.fails(ConflictError, Held("r", lease), Put("s", b"", None))
-        await self.fails(ConflictError, Take("r", b"2", second.name), by=self.b)
+            await self.fails(ConflictError, CheckHolder("r", lease), Put("s", b"", None))
+        await self.fails(ConflictError, Lock("r", b"2", second.name), by=self.b)
         while True:
             try:
-                done = await self.b.commit([Take("r", b"2", second.name)])
+                done = await self.b.commit([Lock("r", b"2", second.name)])
                 break
             except ConflictError:
                 await told.more()
-        self.assertEqual(done["r"].taken, 2)
+        self.assertEqual(done["r"].lock_count, 2)
 
     @plays
     async def test_a_holder_cut_off_stops_believing_before_its_lease_ends(self: Any) -> None:
         lost: Deferred[LupinError] = Deferred()
         lease = await self.lease(self.a, lost.callback)  # a second call would be an error
         name = lease.name
-        await self.a.commit([Take("r", b"1", name)])
+        await self.a.commit([Lock("r", b"1", name)])
         told = self.told(self.b, "r")
         self.service.cut(0)
         self.assertIsInstance(await lost, LeaseLostError)
@@ -78,14 +78,14 @@
     @plays
     async def test_a_lease_lives_while_it_is_renewed_and_ends_when_it_is_given_up(self: Any) -> None:
         lease = await self.lease(self.a)
-        await self.a.commit([Take("r", b"1", lease.name)])
+        await self.a.commit([Lock("r", b"1", lease.name)])
         told, until = self.told(self.b, "r"), lease.until_ms()
         await told.until(lambda: bool(told.views) and told.views[-1].asked_ms > until + TTL_MS)
         self.assertTrue(lease.holds() and told.views[-1].records["r"].lease == lease.name)
         await lease.end()
         self.assertFalse(lease.holds())
         await told.until(lambda: told.views[-1].records["r"].lease == "")
-        await self.fails(ConflictError, Take("q", b"1", "nobody"))
+        await self.fails(ConflictError, Lock("q", b"1", "nobody"))
 
 
 class LeasesInMemory(Leases, TestCase):
--- a/tests/test_agreement_parts.py
+++ b/tests/test_agreement_parts.py
@@ -10,21 +10,32 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from lupinlink.coordination import consul_form as form
+from lupinlink.coordination import consul_messages as messages
 from lupinlink.coordination.backoff import Backoff
-from lupinlink.coordination.contract import ABSENT, Delete, Drop, Guarded, Held, Put, Record, Step, Take, View
+from lupinlink.coordination.contract import (
+    ABSENT,
+    CheckHolder,
+    CheckRevision,
+    Delete,
+    Lock,
+    Put,
+    Record,
+    Step,
+    Unlock,
+    View,
+)
 from lupinlink.coordination.errors import (
     BusyError,
     ConflictError,
     DeniedError,
+    InvalidRequestError,
     LeaseLostError,
-    TooMuchError,
     UncertainError,
     UnreachableError,
 )  # fmt: skip
-from lupinlink.coordination.history import follow
-from lupinlink.coordination.ledger import Ledger
-from lupinlink.coordination.pace import Pace
+from lupinlink.coordination.kv_store import KvStore
+from lupinlink.coordination.rate_limit import CallRateLimiter
+from lupinlink.coordination.restore_detection import next_view
 
 DELAY_MS, TTL_MS = 1000.0, 5000.0
 KEYS = st.sampled_from(["a", "b"])
@@ -35,7 +46,7 @@
 
     @initialize(late=st.floats(1.0, 2.0))
     def begin(self, late: float) -> None:
-        self.ledger, self.now = Ledger(DELAY_MS, late), 0.0
+        self.store, self.now = KvStore(DELAY_MS, late), 0.0
         self.names: list[str] = []
         self.renewed: dict[str, float] = {}
         self.let_go: dict[str, float] = {}
@@ -43,17 +54,17 @@
 
     @rule(ms=st.floats(0.0, 4000.0))
     def time(self, ms: float) -> None:
-        held = {key: record.lease for key, record in self.ledger.records.items() if record.lease}
+        held = {key: record.lease for key, record in self.store.records.items() if record.lease}
         self.now += ms
-        self.ledger.expire(self.now)
+        self.store.expire(self.now)
         for key, lease in held.items():
-            if self.ledger.records[key].lease != lease:
+            if self.store.records[key].lease != lease:
                 assert self.now >= self.renewed[lease] + TTL_MS  # a lower bound
                 self.let_go[key] = self.now
 
     @rule()
     def open(self) -> None:
-        name = self.ledger.open(TTL_MS, self.now)
+        name = self.store.open(TTL_MS, self.now)
         assert name not in self.names
         self.names.append(name)
         self.renewed[name] = self.now
@@ -62,39 +73,39 @@
     def renew(self, number: int) -> None:
         for name in self.names[number : number + 1]:
             try:
-                self.ledger.renew(name, self.now)
+                self.store.renew(name, self.now)
                 self.renewed[name] = self.now
             except LeaseLostError:
-                assert name not in self.ledger.grants
+                assert name not in self.store.grants
 
     @rule(key=KEYS, number=st.integers(0, 9), value=st.binary(max_size=1))
     def take(self, key: str, number: int, value: bytes) -> None:
         for name in self.names[number : number + 1]:
-            before = self.ledger.records.get(key)
+            before = self.store.records.get(key)
             try:
-                after = self.ledger.commit([Take(key, value, name)], self.now)[key]
+                after = self.store.commit([Lock(key, value, name)], self.now)[key]
             except ConflictError:
                 continue
             assert before is None or before.lease in ("", name)
-            assert after.lease == name in self.ledger.grants
+            assert after.lease == name in self.store.grants
             if before is None or before.lease != name:
                 assert self.now >= self.let_go.get(key, -DELAY_MS) + DELAY_MS
-                assert after.taken == (before.taken if before else 0) + 1
+                assert after.lock_count == (before.lock_count if before else 0) + 1
 
     @rule(key=KEYS, number=st.integers(0, 9))
     def drop(self, key: str, number: int) -> None:
         for name in self.names[number : number + 1]:
             try:
-                assert self.ledger.commit([Drop(key, b"", name)], self.now)[key].lease == ""
+                assert self.store.commit([Unlock(key, b"", name)], self.now)[key].lease == ""
             except ConflictError:
-                assert key not in self.ledger.records or self.ledger.records[key].lease != name
+                assert key not in self.store.records or self.store.records[key].lease != name
 
     @rule(key=KEYS, behind=st.integers(0, 2), value=st.binary(max_size=1))
     def put(self, key: str, behind: int, value: bytes) -> None:
-        before = self.ledger.records.get(key)
+        before = self.store.records.get(key)
         revision = (before.revision if before else ABSENT) - behind
         try:
-            after = self.ledger.commit([Put(key, value, revision)], self.now)[key]
+            after = self.store.commit([Put(key, value, revision)], self.now)[key]
             assert behind == 0
             assert before is None or before.value == value or after.revision > before.revision
         except ConflictError:
@@ -103,10 +114,10 @@
     @invariant()
     def the_index_never_falls_and_only_leases_hold(self) -> None:
         if hasattr(self, "ledger"):
-            assert self.ledger.index >= self.index
-            self.index = self.ledger.index
-            assert {r.lease for r in self.ledger.records.values()} <= {"", *self.ledger.grants}
-            assert all(record.revision <= self.index for record in self.ledger.records.values())
+            assert self.store.index >= self.index
+            self.index = self.store.index
+            assert {r.lease for r in self.store.records.values()} <= {"", *self.store.grants}
+            assert all(record.revision <= self.index for record in self.store.records.values())
 
 
 LedgerMachine.TestCase.settings = settings(
@@ -134,7 +145,7 @@
     @settings(derandomize=True, deadline=None, max_examples=40)
     @given(st.lists(st.floats(0.0, 3000.0), min_size=1, max_size=60))
     def test_questions_keep_their_pace(self, gaps: list[float]) -> None:
-        pace, now, asked = Pace(1000.0, 3), 0.0, []
+        pace, now, asked = CallRateLimiter(1000.0, 3), 0.0, []
         for gap in gaps:
             now += gap
             asked.append(now + pace.wait_ms(now))
@@ -146,27 +157,27 @@
         def view(index: int, **revisions: int) -> View:
             return View("", {key: Record(key, b"", at) for key, at in revisions.items()}, index)
 
-        swept = follow(view(30, a=10), view(10, a=10))
+        swept = next_view(view(30, a=10), view(10, a=10))
         self.assertEqual(swept.index, 30)  # the trace of a deleted record went, nothing else
         for before, after in (
             (view(20, a=10, b=20), view(10, a=10)),  # b is gone with its history
             (view(20, a=20), view(40, a=10, b=40)),  # the index went on, a is older
         ):
-            self.assertLess(follow(before, after).index, before.index)
-        gone = follow(view(20, a=10, b=20), view(25, a=10))
+            self.assertLess(next_view(before, after).index, before.index)
+        gone = next_view(view(20, a=10, b=20), view(25, a=10))
         self.assertEqual(gone.index, 25)  # b was deleted
 
 
 class ConsulForm(unittest.TestCase):
     def test_steps_are_the_published_operations(self) -> None:
         steps: list[Step] = [
-            Put("a", b"v", None), Put("a", b"v", ABSENT), Put("a", b"v", 7), Guarded("a", ABSENT),
-            Guarded("a", 7), Held("a", "s"), Take("a", b"v", "s"), Drop("a", b"v", "s"), Delete("a", None),
-            Delete("a", ABSENT), Delete("a", 7),
+            Put("a", b"v", None), Put("a", b"v", ABSENT), Put("a", b"v", 7), CheckRevision("a", ABSENT),
+            CheckRevision("a", 7), CheckHolder("a", "s"), Lock("a", b"v", "s"), Unlock("a", b"v", "s"),
+            Delete("a", None), Delete("a", ABSENT), Delete("a", 7),
         ]  # fmt: skip
         value = {"Key": "p/a", "Value": "dg=="}
         self.assertEqual(
-            [one["KV"] for one in json.loads(form.operations("p/", steps))],
+            [one["KV"] for one in json.loads(messages.operations("p/", steps))],
             [
                 {"Verb": "set", **value}, {"Verb": "cas", **value, "Index": 0},
                 {"Verb": "cas", **value, "Index": 7}, {"Verb": "check-not-exists", "Key": "p/a"},
@@ -180,10 +191,10 @@
 
     def test_a_session_lives_by_its_time_alone(self) -> None:
         self.assertEqual(
-            json.loads(form.session("n1", 10000.0, 500.0)),
+            json.loads(messages.session("n1", 10000.0, 500.0)),
             {"Name": "n1", "TTL": "10s", "LockDelay": "0.5s", "Behavior": "release", "NodeChecks": []},
         )
-        self.assertEqual([form.renewed(b'[{"TTL":"%s"}]' % t) for t in (b"15s", b"300ms", b"1m", b"")],
+        self.assertEqual([messages.renewed(b'[{"TTL":"%s"}]' % t) for t in (b"15s", b"300ms", b"1m", b"")],
                          [15000.0, 300.0, 0.0, 0.0])  # fmt: skip
 
     def test_what_an_answer_leaves_open(self) -> None:
@@ -193,12 +204,12 @@
             (429, "", BusyError, BusyError),
             (503, "", BusyError, BusyError),
             (403, "Permission denied", DeniedError, DeniedError),
-            (413, "too large", TooMuchError, TooMuchError),
-            (400, "", TooMuchError, TooMuchError),
+            (413, "too large", InvalidRequestError, InvalidRequestError),
+            (400, "", InvalidRequestError, InvalidRequestError),
             (500, "No cluster leader", UnreachableError, UnreachableError),
             (500, "rpc error: leadership lost while committing log", UncertainError, UnreachableError),
             (502, "", UncertainError, UnreachableError),
         ):
             with self.subTest(status=status, text=text):
-                self.assertIs(type(form.refusal(status, text.encode(), writes=True)), write)
-                self.assertIs(type(form.refusal(status, text.encode(), writes=False)), read)
+                self.assertIs(type(messages.refusal(status, text.encode(), writes=True)), write)
+                self.assertIs(type(messages.refusal(status, text.encode(), writes=False)), read)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -26,7 +26,7 @@
     "brain brain.admission brain.balancer brain.concurrency brain.discovery_answers brain.discovery_node "
     "brain.discovery_outage brain.discovery_schedule brain.discovery_times brain.dispatching brain.health "
     "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection brain.server_subset "
-    "brain.waiting cli clock commands commands.serve commands.told errors interface limits "
+    "brain.waiting cli clock commands commands.input_errors commands.serve errors interface limits "
     "limits.body_progress limits.capacity_bound limits.idle_reuse list_trust lupinlink net "
     "net.application_servers net.application_servers.attempts net.application_servers.connection "
     "net.application_servers.dialling net.application_servers.idle_connections "
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta, Struct
 
-from lupinlink.config.errors import FleetFileError, FleetFileUnreadError, FleetPartError
+from lupinlink.config.errors import FleetComponentError, FleetFileError, FleetFileUnreadableError
 from lupinlink.config.files import load_fleet
 from lupinlink.config.fleet import AgreementSettings, MemberSettings, read_fleet
 from lupinlink.errors import LupinError
@@ -41,7 +41,7 @@
 
 class FleetFileTest(unittest.TestCase):
     def read(self, text: str) -> Any:
-        with mock.patch.dict("lupinlink.config.fleet.PARTS", {"release": f"{__name__}:PartSettings"}):
+        with mock.patch.dict("lupinlink.config.fleet.COMPONENTS", {"release": f"{__name__}:PartSettings"}):
             return read_fleet(tomllib.loads(text), "f.toml")
 
     def test_the_deployed_file_holds_every_key_at_its_default(self) -> None:
@@ -96,8 +96,8 @@
 
     def test_a_table_for_a_part_that_is_not_there_is_told(self) -> None:
         with (
-            mock.patch.dict("lupinlink.config.fleet.PARTS", {"quota": "lupinlink.nowhere:Settings"}),
-            self.assertRaises(FleetPartError) as caught,
+            mock.patch.dict("lupinlink.config.fleet.COMPONENTS", {"quota": "lupinlink.nowhere:Settings"}),
+            self.assertRaises(FleetComponentError) as caught,
         ):
             read_fleet({"quota": {}}, "f.toml")
         self.assertIn("f.toml: quota: ", str(caught.exception))
@@ -105,6 +105,6 @@
     def test_a_file_that_cannot_be_read_is_told(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "f.toml"
-            self.assertRaisesRegex(FleetFileUnreadError, "f.toml: no such file", load_fleet, str(path))
+            self.assertRaisesRegex(FleetFileUnreadableError, "f.toml: no such file", load_fleet, str(path))
             path.write_text("[agreement\n")
-            self.assertRaisesRegex(FleetFileUnreadError, r"f.toml: .*line 1", load_fleet, str(path))
+            self.assertRaisesRegex(FleetFileUnreadableError, r"f.toml: .*line 1", load_fleet, str(path))
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -11,11 +11,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from lupinlink.coordination.client import BURST
-from lupinlink.coordination.contract import Delete, Drop, Put, Take, View
+from lupinlink.coordination.contract import Delete, Lock, Put, Unlock, View
 from lupinlink.coordination.errors import LeaseLostError
-from lupinlink.coordination.fence import Mark, write_mark
+from lupinlink.coordination.fence import FenceRecord, encode_fence
 from lupinlink.coordination.memory import MemoryService
-from lupinlink.coordination.pace import MOST_OWED
+from lupinlink.coordination.rate_limit import MAX_OWED_CALLS
 from lupinlink.lab.model.clock import VirtualClock
 from tests.fleet_members import KEY, TTL_MS, Candidate, Works
 
@@ -52,11 +52,11 @@
 
     @rule(who=WHO, cut=st.booleans())
     def cut(self, who: int, cut: bool) -> None:
-        self.all[who].wire.cut = cut
+        self.all[who].transport.cut = cut
 
     @rule(who=WHO, asks=st.integers(0, 2), answers=st.integers(0, 2))
     def lose(self, who: int, asks: int, answers: int) -> None:
-        self.all[who].wire.lost_asks, self.all[who].wire.lost_answers = asks, answers
+        self.all[who].transport.lost_requests, self.all[who].transport.lost_responses = asks, answers
 
     @rule(who=WHO)
     def work(self, who: int) -> None:
@@ -64,7 +64,7 @@
 
     @rule(who=WHO)
     def expire(self, who: int) -> None:
-        lease = self.all[who].tenure.lease
+        lease = self.all[who].process_lease.lease
         if lease is not None:
             self.ended.add(lease.name)
             self.service.expire(lease.name)
@@ -73,10 +73,10 @@
     def save(self) -> None:
         self.saved = self.service.save()
 
-    @precondition(lambda self: self.service.ledger.index > self.saved.index)
+    @precondition(lambda self: self.service.store.index > self.saved.index)
     @rule()
     def restore(self) -> None:
-        self.ended |= self.service.ledger.grants.keys() - self.saved.grants.keys()
+        self.ended |= self.service.store.grants.keys() - self.saved.grants.keys()
         self.service.restore(self.saved)
         self.works.fences.clear()
 
@@ -84,10 +84,10 @@
     def heal(self) -> None:
         """All goes well for long enough: one leads, under a fence that everybody obeys."""
         for one in self.all:
-            one.wire.cut, one.wire.lost_asks, one.wire.lost_answers = False, 0, 0
+            one.transport.cut, one.transport.lost_requests, one.transport.lost_responses = False, 0, 0
             one.clock.go_on()
         self.clock.run(self.clock.now() + 90000.0)
-        leads = [one for one in self.all if one.lead.leads]
+        leads = [one for one in self.all if one.lead.is_leader]
         assert len(leads) == 1
         assert all(one.lead.holder == leads[0].lead._name for one in self.all)
         assert all(one.seen.admits(leads[0].lead.fence) for one in self.all)
@@ -109,10 +109,10 @@
     @invariant()
     def a_lease_is_believed_no_longer_than_it_is_granted(self) -> None:
         for one in getattr(self, "all", ()):
-            lease = one.tenure.lease
+            lease = one.process_lease.lease
             if lease is not None and lease.name not in self.ended:
-                self.service.ledger.expire(self.clock.now())
-                assert lease.name in self.service.ledger.grants
+                self.service.store.expire(self.clock.now())
+                assert lease.name in self.service.store.grants
 
 
 LeadMachine.TestCase.settings = settings(
@@ -135,13 +135,13 @@
 
     def test_a_holder_that_stood_still_writes_nothing_more(self) -> None:
         all_ = self.candidates(3)
-        first = next(one for one in all_ if one.lead.leads)
+        first = next(one for one in all_ if one.lead.is_leader)
         write, fence = first.decide(), first.lead.fence
         first.clock.stopped = True
         self.clock.run(self.clock.now() + 4 * TTL_MS)
-        second = next(one for one in all_ if one is not first and one.lead.leads)
+        second = next(one for one in all_ if one is not first and one.lead.is_leader)
         self.assertGreater(second.lead.fence, fence)
-        self.assertFalse(first.lead.leads)
+        self.assertFalse(first.lead.is_leader)
         self.assertRaises(LeaseLostError, first.lead.guard)
         write()
         first.clock.go_on()
@@ -152,29 +152,29 @@
 
     def test_two_hundred_do_not_storm_when_the_holder_goes(self) -> None:
         all_ = self.candidates(200)
-        first = next(one for one in all_ if one.lead.leads)
+        first = next(one for one in all_ if one.lead.is_leader)
         before = sum(one.client.calls_by_kind.get("commit", 0) for one in all_)
-        name = first.tenure.lease.name if first.tenure.lease else ""
-        first.wire.cut = True
+        name = first.process_lease.lease.name if first.process_lease.lease else ""
+        first.transport.cut = True
         self.service.expire(name)
         self.clock.run(self.clock.now() + 5000.0)
-        self.assertEqual(sum(one.lead.leads for one in all_ if one is not first), 1)
+        self.assertEqual(sum(one.lead.is_leader for one in all_ if one is not first), 1)
         after = sum(one.client.calls_by_kind.get("commit", 0) for one in all_ if one is not first)
         self.assertLessEqual(after - before, 10)
 
     def test_a_lead_that_is_let_go_is_taken_at_once(self) -> None:
         all_ = self.candidates(2)
-        first, second = sorted(all_, key=lambda one: not one.lead.leads)
+        first, second = sorted(all_, key=lambda one: not one.lead.is_leader)
         first.lead.stop()
         self.clock.run(self.clock.now() + 2500.0)  # the spread, and no lock-delay
-        self.assertTrue(second.lead.leads and not first.lead.leads)
+        self.assertTrue(second.lead.is_leader and not first.lead.is_leader)
         self.assertEqual(first.lost, 0)
 
     def test_a_fence_that_somebody_met_is_overtaken(self) -> None:
         all_ = self.candidates(3)
-        first = next(one for one in all_ if one.lead.leads)
+        first = next(one for one in all_ if one.lead.is_leader)
         other = next(one for one in all_ if one is not first)
-        other.lead.heard(first.lead.fence + 7)  # as after a restore
+        other.lead.observe_fence(first.lead.fence + 7)  # as after a restore
         self.clock.run(self.clock.now() + 10000.0)
         self.assertGreater(first.lead.fence, first.became[0] + 7)
         self.assertEqual((first.lost, first.became[-1]), (0, first.lead.fence))
@@ -182,13 +182,13 @@
     def test_a_lead_that_was_told_to_be_over_comes_back_under_a_higher_fence(self) -> None:
         first = self.candidates(1)[0]
         saved = self.service.save()
-        self.service.ledger.commit([Delete(KEY, None)], self.clock.now())
+        self.service.store.commit([Delete(KEY, None)], self.clock.now())
         self.service.changed()
         self.clock.run(self.clock.now() + 4.0)
-        self.assertEqual((first.lost, first.lead.leads), (1, False))
+        self.assertEqual((first.lost, first.lead.is_leader), (1, False))
         self.service.restore(saved)
         self.clock.run(self.clock.now() + 500.0)
-        self.assertTrue(first.lead.leads)
+        self.assertTrue(first.lead.is_leader)
         self.assertEqual(first.became, sorted(set(first.became)))
 
     def test_records_that_change_all_the_time_are_asked_for_at_the_pace(self) -> None:
@@ -198,7 +198,7 @@
 
         def change() -> None:
             steps = [Put(prefix, b"%f" % self.clock.now(), None) for prefix in "abcde"]
-            self.service.ledger.commit(steps, self.clock.now())
+            self.service.store.commit(steps, self.clock.now())
             self.service.changed()
             self.clock.after(50.0, change)
 
@@ -206,38 +206,43 @@
         before = one.client.calls
         self.clock.run(self.clock.now() + 100000.0)
         calls = one.client.calls - before
-        self.assertLessEqual(calls, 100 + BURST + MOST_OWED)
+        self.assertLessEqual(calls, 100 + BURST + MAX_OWED_CALLS)
 
     def test_a_campaign_decided_on_what_has_passed_fails(self) -> None:
         service = MemoryService(self.clock, 0.0, delay_ms=500.0)
         one = Candidate(service, self.clock, 1)
         while not one.client.calls_by_kind.get("commit"):
             self.clock.run(self.clock.now() + 100.0)
-        name = service.ledger.open(TTL_MS, self.clock.now())  # another leads under the same fence, and goes
-        for step in (Take(KEY, write_mark(Mark(1, "x")), name), Drop(KEY, write_mark(Mark(1)), name)):
-            service.ledger.commit([step], self.clock.now())
+        name = service.store.open(TTL_MS, self.clock.now())  # another leads under the same fence, and goes
+        for step in (
+            Lock(KEY, encode_fence(FenceRecord(1, "x")), name),
+            Unlock(KEY, encode_fence(FenceRecord(1)), name),
+        ):
+            service.store.commit([step], self.clock.now())
         service.changed()
         self.clock.run(self.clock.now() + 20000.0)
-        self.assertEqual((one.became, one.lead.leads), ([2], True))
+        self.assertEqual((one.became, one.lead.is_leader), ([2], True))
 
     def test_answers_that_overtake_each_other_change_nothing(self) -> None:
         first = self.candidates(1)[0]
-        now = self.service.ledger.records[KEY]
+        now = self.service.store.records[KEY]
         first.lead._view(View(KEY, {}, 1, asked_ms=0.0))  # asked before it led, comes late
         first.lead._written({KEY: replace(now, revision=1, lease="older")}, None)
-        self.assertEqual((first.lead.leads, first.lost), (True, 0))
+        self.assertEqual((first.lead.is_leader, first.lost), (True, 0))
 
     def test_a_record_that_cannot_be_read_stops_no_campaign(self) -> None:
-        self.service.ledger.commit([Put(KEY, b"\xff", None), Put("x", write_mark(Mark(3)), None)], 0.0)
-        self.assertEqual(sum(one.lead.leads for one in self.candidates(2)), 1)
+        self.service.store.commit(
+            [Put(KEY, b"\xff", None), Put("x", encode_fence(FenceRecord(3)), None)], 0.0
+        )
+        self.assertEqual(sum(one.lead.is_leader for one in self.candidates(2)), 1)
 
     def test_the_answer_that_the_service_was_busy_changes_nothing(self) -> None:
         all_ = self.candidates(2)
         before = [list(one.became) for one in all_]
         for one in all_:
-            one.wire.busy = True
+            one.transport.busy = True
         self.clock.run(self.clock.now() + 5000.0)
         for one in all_:
-            one.wire.busy = False
+            one.transport.busy = False
         self.clock.run(self.clock.now() + 20000.0)
         self.assertEqual([one.became for one in all_], before)
--- a/tests/test_release_faults.py
+++ b/tests/test_release_faults.py
@@ -139,15 +139,15 @@
         fleet.until(any_in(State.DRAINING))
         cut = [p for p in fleet.places.values() if p is not fleet.lead()][-3:]
         for place in cut:
-            assert place.wire is not None
-            place.wire.cut = True
+            assert place.transport is not None
+            place.transport.cut = True
         fleet.service.changed()
         known = fleet.until(halted, 60.0)
         self.assertIn("out without a permit", known.halt.why)
         self.assertLessEqual(set(known.permits.proxies.without), {place.name for place in cut})
         for place in cut:
-            assert place.wire is not None
-            place.wire.cut = False
+            assert place.transport is not None
+            place.transport.cut = False
         self.through(fleet)
         self.whole(fleet)
 
@@ -175,7 +175,7 @@
         for state in (State.PERMITTED, State.DRAINING, State.BACK):
             fleet.until(any_in(state))
             for place in fleet.places.values():
-                assert place.wire is not None
-                place.wire.lost_answers = 1
+                assert place.transport is not None
+                place.transport.lost_responses = 1
         self.through(fleet)
         self.whole(fleet)
--- a/tests/test_release_orders.py
+++ b/tests/test_release_orders.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from lupinlink.coordination.part import Ask
+from lupinlink.coordination.component import AdminRequest
 from lupinlink.release.presence import Listed
 from lupinlink.release.records import Stand, State
 from tests.release_fleet import ALLOWED, Fleet, any_in, ended, halted, later_wave, plan_of
@@ -80,7 +80,7 @@
         places = list(fleet.places.values())[-2:]
         for place, path in zip(places, ("/go-on", "/halt"), strict=True):
             assert place.agent is not None
-            place.agent.calls()[DOOR + path]["PUT"](Ask())
+            place.agent.admin_routes()[DOOR + path]["PUT"](AdminRequest())
         fleet.run(5.0)
         drains = len(fleet.drains)
         fleet.call("PUT", DOOR + "/halt", why="second")
@@ -106,7 +106,7 @@
     def drain(self, fleet: Fleet, name: str, **query: str) -> int:
         agent = fleet.places[name].agent
         assert agent is not None
-        return agent.drains()["/control/out-of-service"]["PUT"](Ask(query)).status
+        return agent.drains()["/control/out-of-service"]["PUT"](AdminRequest(query)).status
 
     def test_operators_drains_share_the_bound_and_a_release_leaves_them_alone(self) -> None:
         fleet = Fleet()
@@ -123,7 +123,7 @@
         for name in (waiting, first):
             agent = fleet.places[name].agent
             assert agent is not None
-            agent.drains()["/control/in-service"]["PUT"](Ask())
+            agent.drains()["/control/in-service"]["PUT"](AdminRequest())
         through = (State.BACK, State.JUDGED)
         known = fleet.until(
             lambda k: k.plan is not None and sum(p.state in through for p in k.plan.members.values()) == 9
@@ -132,7 +132,7 @@
         self.assertIn("out already: drain", plan_of(known).note)
         agent = fleet.places[second].agent
         assert agent is not None
-        agent.drains()["/control/in-service"]["PUT"](Ask())
+        agent.drains()["/control/in-service"]["PUT"](AdminRequest())
         fleet.until(ended)
         self.assertEqual(fleet.out_most, ALLOWED)
 
--- a/tests/test_release_rules.py
+++ b/tests/test_release_rules.py
@@ -32,7 +32,7 @@
         self.world.order()
         for _ in range(5):
             self.round()
-        self.world.saved = self.world.ledger.save()
+        self.world.saved = self.world.store.save()
         for _ in range(rounds):
             self.round(act=True)
 
@@ -158,7 +158,7 @@
 
     @rule()
     def saved(self) -> None:
-        self.world.saved = self.world.ledger.save()
+        self.world.saved = self.world.store.save()
 
     @rule()
     def restored(self) -> None:
--- a/tests/test_tenure.py
+++ b/tests/test_tenure.py
@@ -8,16 +8,16 @@
 
 from twisted.internet.defer import Deferred, succeed
 
+from lupinlink.coordination.blocking_query import BlockingQuery
+from lupinlink.coordination.component import Member
 from lupinlink.coordination.contract import Record
 from lupinlink.coordination.errors import LeaseLostError
-from lupinlink.coordination.keeping import KeptLease
-from lupinlink.coordination.memory import MemoryService, MemoryWire
-from lupinlink.coordination.pace import Pace, Pacing
-from lupinlink.coordination.part import Member
+from lupinlink.coordination.lease_renewal import RenewedLease
+from lupinlink.coordination.memory import MemoryService, MemoryTransport
 from lupinlink.coordination.presence import PREFIX, Presence, read_member
-from lupinlink.coordination.tenure import Tenure
-from lupinlink.coordination.watching import StandingQuestion
-from lupinlink.coordination.wire import Found
+from lupinlink.coordination.process_lease import ProcessLease
+from lupinlink.coordination.rate_limit import CallRateLimiter, CallTiming
+from lupinlink.coordination.transport import ReadResult
 from lupinlink.errors import LupinError
 from lupinlink.lab.model.clock import VirtualClock
 from tests.fleet_members import TTL_MS, StoppableClock
@@ -31,26 +31,28 @@
         self.clock = VirtualClock()
         self.lost: list[LupinError] = []
 
-    def lease(self, service: MemoryService, wire: MemoryWire, clock: StoppableClock) -> KeptLease:
-        name = service.ledger.open(TTL_MS, self.clock.now())
-        return KeptLease(wire, clock, draw, name, TTL_MS, self.clock.now(), self.lost.append)
+    def lease(
+        self, service: MemoryService, transport: MemoryTransport, clock: StoppableClock
+    ) -> RenewedLease:
+        name = service.store.open(TTL_MS, self.clock.now())
+        return RenewedLease(transport, clock, draw, name, TTL_MS, self.clock.now(), self.lost.append)
 
     def test_slow_answers_do_not_draw_it_out(self) -> None:
         service = MemoryService(self.clock, delay_ms=1500.0)
-        wire = service.wire()
-        lease = self.lease(service, wire, StoppableClock(self.clock))
+        transport = service.transport()
+        lease = self.lease(service, transport, StoppableClock(self.clock))
         self.clock.run(20000.0)
         self.assertTrue(lease.holds())
-        wire.cut, name = True, lease.name
+        transport.cut, name = True, lease.name
         while lease.holds():
-            self.assertIn(name, service.ledger.grants)
+            self.assertIn(name, service.store.grants)
             self.clock.run(self.clock.now() + 10.0)
         self.assertEqual([type(error) for error in self.lost], [LeaseLostError])
 
     def test_a_process_that_stood_still_does_not_believe_for_a_moment(self) -> None:
         service = MemoryService(self.clock)
         clock = StoppableClock(self.clock)
-        lease = self.lease(service, service.wire(clock), clock)
+        lease = self.lease(service, service.transport(clock), clock)
         clock.stopped = True
         self.clock.run(2 * TTL_MS)
         self.assertFalse(lease.holds())  # before anything else is run
@@ -61,7 +63,7 @@
     def test_a_short_stop_is_no_loss(self) -> None:
         service = MemoryService(self.clock, delay_ms=1500.0)
         clock = StoppableClock(self.clock)
-        lease = self.lease(service, service.wire(clock), clock)
+        lease = self.lease(service, service.transport(clock), clock)
         self.clock.run(3400.0)  # a renewal is on its way
         clock.stopped = True
         self.clock.run(TTL_MS)
@@ -74,46 +76,46 @@
         self.clock = VirtualClock()
         self.service = MemoryService(self.clock)
 
-    def process(self) -> tuple[Presence, Tenure, MemoryWire]:
+    def process(self) -> tuple[Presence, ProcessLease, MemoryTransport]:
         client = self.service.client(draw)
-        tenure = Tenure(client, self.clock, TTL_MS, draw)
-        presence = Presence(client, self.clock, tenure, MEMBER, draw)
-        tenure.start()
+        process_lease = ProcessLease(client, self.clock, TTL_MS, draw)
+        presence = Presence(client, self.clock, process_lease, MEMBER, draw)
+        process_lease.start()
         presence.start()
         self.run_for(2000.0)
-        wire = client._wire._wire
-        assert isinstance(wire, MemoryWire)
-        return presence, tenure, wire
+        transport = client._transport._transport
+        assert isinstance(transport, MemoryTransport)
+        return presence, process_lease, transport
 
     def run_for(self, ms: float) -> None:
         self.clock.run(self.clock.now() + ms)
 
     def holder(self) -> str | None:
-        record = self.service.ledger.records.get(PREFIX + "n1")
+        record = self.service.store.records.get(PREFIX + "n1")
         return record.lease if record is not None else None
 
     def test_a_successor_is_known_once_the_process_before_it_has_left(self) -> None:
         old, _, _ = self.process()
-        new, tenure, _ = self.process()
+        new, process_lease, _ = self.process()
         self.assertEqual((old.known, new.known), (True, False))
         old.stop()
         self.run_for(15000.0)
-        assert tenure.lease is not None
-        self.assertEqual((new.known, self.holder()), (True, tenure.lease.name))
-        record = self.service.ledger.records[PREFIX + "n1"]
+        assert process_lease.lease is not None
+        self.assertEqual((new.known, self.holder()), (True, process_lease.lease.name))
+        record = self.service.store.records[PREFIX + "n1"]
         self.assertEqual((read_member(record.value), read_member(b"{")), (MEMBER, None))
         new.stop()
         self.run_for(10.0)
         self.assertIsNone(self.holder())
 
     def test_one_that_was_cut_off_is_let_go_and_comes_back(self) -> None:
-        presence, tenure, wire = self.process()
-        wire.cut = True
+        presence, process_lease, transport = self.process()
+        transport.cut = True
         self.run_for(2 * TTL_MS)
-        self.assertEqual((presence.known, self.holder(), tenure.lease), (False, "", None))
-        self.assertGreater(tenure.failures, 0)
-        self.assertTrue(tenure.why.startswith("LL101 "))
-        wire.cut = False
+        self.assertEqual((presence.known, self.holder(), process_lease.lease), (False, "", None))
+        self.assertGreater(process_lease.failures, 0)
+        self.assertTrue(process_lease.why.startswith("LL101 "))
+        transport.cut = False
         self.run_for(25000.0)
         self.assertTrue(presence.known and self.holder())
 
@@ -122,18 +124,25 @@
     def test_after_a_restore_it_asks_from_where_the_service_is(self) -> None:
         asked: list[int] = []
 
-        class Wire(MemoryWire):
-            def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[Found]:
+        class Transport(MemoryTransport):
+            def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[ReadResult]:
                 asked.append(index)
                 now = {0: 50, 50: 7}.get(index, index + 1)
-                return succeed(Found({"r": Record("r", b"", now)}, now))
+                return succeed(ReadResult({"r": Record("r", b"", now)}, now))
 
         clock = VirtualClock()
-        wire = Wire(MemoryService(clock), clock)
-        watch = StandingQuestion(
-            wire, clock, Pace(10.0, 8), draw, "r", Pacing(), lambda view: None, lambda error: None
+        transport = Transport(MemoryService(clock), clock)
+        watch = BlockingQuery(
+            transport,
+            clock,
+            CallRateLimiter(10.0, 8),
+            draw,
+            "r",
+            CallTiming(),
+            lambda view: None,
+            lambda error: None,
         )
-        with self.assertLogs("lupinlink.coordination.watching") as logs:
+        with self.assertLogs("lupinlink.coordination.blocking_query") as logs:
             while len(asked) < 4:
                 clock.run(clock.now() + 10.0)
         watch.stop()
