--- a/tests/test_agreement_parts.py
+++ b/tests/test_agreement_parts.py
@@ -113,7 +113,7 @@
 
     @invariant()
     def the_index_never_falls_and_only_leases_hold(self) -> None:
-        if hasattr(self, "ledger"):
+        if hasattr(self, "store"):
             assert self.store.index >= self.index
             self.index = self.store.index
             assert {r.lease for r in self.store.records.values()} <= {"", *self.store.grants}
