--- a/tests/test_drain_crossings.py
+++ b/tests/test_drain_crossings.py
@@ -1,4 +1,4 @@
-"""The rule ``drain`` where news crosses requests, a start, a shutdown, or comes by an agent that pushes."""
+"""The rule ``drain`` where a change meets unread requests, a shutdown, a start, or a local agent."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from tests.loopback_servers import OK, WAIT
 
 BURST, PIPELINED = 100, 20  # connections with a request each; and requests on one connection
-HELD_S = GRACE_S + 2 * SLACK_S  # a process stands still for longer than the grace
-EARLY = 10  # connections that wait for a process to listen
-OVERDUE_S = 3.2  # so long without a line, and any proxy may take its watch for silent
+STOPPED_S = GRACE_S + 2 * SLACK_S  # a process is stopped for longer than the grace
+EARLY = 10  # connections that are opened as soon as a process listens
+SILENT_S = 3.2  # longer than the silence timeout of a watch
 JUDGED_S = 1.0
 
 
 class Crossing(FleetProcessTest):
-    """Connections of the test's own, besides the load."""
+    """Opens connections besides those of the load."""
 
     def dial(self, member: Member, data: bytes = b"") -> socket.socket:
         connection = socket.create_connection(("127.0.0.1", member.port), WAIT)
@@ -34,14 +34,14 @@
         return connection
 
     def used(self, member: Member) -> socket.socket:
-        """A connection whose first request has been answered, so that the process knows it."""
+        """Return a connection that the process has accepted, as an answer to a first request shows."""
         connection = self.dial(member, member.head())
         self.read(connection)
         return connection
 
     @staticmethod
     def read(connection: socket.socket, answers: int = 1) -> bytes:
-        """So many answers, or what came before the connection's end."""
+        """Read so many answers, or until the connection closes."""
         got = b""
         with suppress(ConnectionError):
             while got.count(b"HTTP/1.1 ") < answers or not got.endswith((b"ok", b"\r\n\r\n")):
@@ -52,12 +52,12 @@
         return got
 
 
-class Unread(Crossing):
-    """Processes stand still with the news, each in another form, and requests unread in their sockets."""
+class StoppedProcesses(Crossing):
+    """Processes are stopped with a change, each in another form, and requests unread in their sockets."""
 
     forms: ClassVar[tuple[Form, ...]] = WHOLE_FORMS
 
-    def burst(self, news_first: bool, held_s: float = HELD_S) -> None:
+    def burst(self, change_first: bool, stopped_s: float = STOPPED_S) -> None:
         members = self.fleet(len(self.forms))
         for member in members:
             member.halt.set()
@@ -66,15 +66,15 @@
         for member in members:
             member.process.send_signal(signal.SIGSTOP)
             self.stopped(member)
-        if news_first:
+        if change_first:
             self.shared.drain(*DRAINED)
         for member, connection in idle:
             connection.sendall(member.head())
         for member, connection in many:
             connection.sendall(b"".join(member.head() for _ in range(PIPELINED)))
-        written = time.monotonic() if news_first else self.shared.drain(*DRAINED)
+        written = time.monotonic() if change_first else self.shared.drain(*DRAINED)
         self.assertTrue(all(DRAINED[0] in member.frontends[0].written for member in members))
-        self.pass_time(written + held_s)
+        self.pass_time(written + stopped_s)
         for member in members:
             member.process.send_signal(signal.SIGCONT)
         served = sum(self.read(connection).startswith(b"HTTP/1.1 200") for _, connection in idle)
@@ -90,18 +90,18 @@
         while stat.read_text().rpartition(")")[2].split()[0] != "T":
             assert time.monotonic() < until
 
-    def test_the_news_came_before_the_requests(self) -> None:
-        self.burst(news_first=True)
+    def test_the_change_came_before_the_requests(self) -> None:
+        self.burst(change_first=True)
 
-    def test_the_news_came_before_the_requests_and_the_watch_is_overdue(self) -> None:
-        self.burst(news_first=True, held_s=OVERDUE_S)
+    def test_the_change_came_before_the_requests_and_the_watch_has_timed_out(self) -> None:
+        self.burst(change_first=True, stopped_s=SILENT_S)
 
-    def test_the_requests_came_before_the_news(self) -> None:
-        self.burst(news_first=False)
+    def test_the_requests_came_before_the_change(self) -> None:
+        self.burst(change_first=False)
 
 
 class Shutdown(Crossing):
-    """SIGTERM, and a drain while clients go on: on idle connections, and with heads that were begun."""
+    """SIGTERM, then a drain while clients go on, on idle connections and with incomplete heads."""
 
     def test_a_drain_during_the_shutdown(self) -> None:
         self.shut_down(lambda: None)
@@ -116,7 +116,7 @@
             member.served(1)
             member.process.send_signal(signal.SIGTERM)
         answered = 0
-        for member, connection in idle[::15]:  # observed: they serve on though they have the signal
+        for member, connection in idle[::15]:  # they go on serving after the signal
             with suppress(ConnectionError):
                 connection.sendall(member.head())
                 answered += self.read(connection).endswith(OK[-2:])
@@ -140,7 +140,7 @@
 
 
 class ShutdownPushed(Shutdown):
-    """There it counts as told whether or not a watch is still open."""
+    """With pushed lists a change counts whether or not a watch is still open."""
 
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
 
@@ -149,7 +149,7 @@
 
 
 class Pushed(Crossing):
-    """What the agent has counts as told from a process's first moment, and at once at an outage's end."""
+    """What the agent has counts from the first moment of a process, and from the end of an outage."""
 
     settings: ClassVar[dict[str, Any]] = {"MembershipMode": "automatic"}
 
@@ -172,11 +172,11 @@
         self.judge(lambda member: member.spawned_at)
 
     def ask_as_it_listens(self, member: Member) -> int:
-        """Ask from the first moment on, on several connections at once, until something is served."""
+        """Send requests on several connections from the first moment on, until one is served."""
         early = [self.dial_as_it_listens(member) for _ in range(EARLY)]
         served = 0
         until = time.monotonic() + WAIT
-        while not served and time.monotonic() < until:  # who is refused comes again at once
+        while not served and time.monotonic() < until:  # a refused client retries at once
             for connection in early:
                 with suppress(ConnectionError):
                     connection.sendall(member.head())
@@ -198,15 +198,15 @@
         self.shared.fall_silent()
         began = time.monotonic()
         self.shared.drain(*DRAINED)
-        anew = self.spawn("anew", self.shared.frontend())
-        self.await_serving(anew)
-        anew.load()
+        added = self.spawn("anew", self.shared.frontend())
+        self.await_serving(added)
+        added.load()
         self.pass_time(began + ALL_TOLD_S)
-        told = self.shared.speak_again()
-        self.pass_time(told + JUDGED_S)
+        notified_at = self.shared.speak_again()
+        self.pass_time(notified_at + JUDGED_S)
         for member in self.members:
             member.served(10)
-        self.judge(told)
+        self.judge(notified_at)
 
 
 if __name__ == "__main__":
--- a/tests/test_drain_faults.py
+++ b/tests/test_drain_faults.py
@@ -1,6 +1,6 @@
-"""Faults around a backend that drains, each in an order of its own: no request goes there too late.
+"""Guards against late requests to a draining backend while calls to discovery fail, in scripted orders.
 
-Each script is played with several seeds, for the program draws its waits; what fails when is fixed.
+Each script runs with several seeds, since the backoff of the program is random; the faults are fixed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 SEEDS = range(1, 7)
 CHANGE_MS = 10500.0
-QUIET_MS = 10050.0  # just after an empty line: they come at even seconds
+QUIET_MS = 10050.0  # just after a heartbeat, which comes at even seconds
 MUTE, NO_DIAL, HEAD_ONLY, DRIP = (
     CallFault(fault) for fault in (Fault.MUTE, Fault.NO_DIAL, Fault.HEAD_ONLY, Fault.DRIP)
 )
@@ -38,7 +38,7 @@
 
 
 class Forced(Driven):
-    """Plays a script with each seed, and tells the worst."""
+    """Runs a script with each seed, and reports the worst."""
 
     def in_time(self, script: Script) -> None:
         results = [drive(replace(script, seed=seed)) for seed in SEEDS]
@@ -51,7 +51,7 @@
 
 
 class SilentWatch(Forced):
-    """The watch falls silent, a backend begins to drain, and calls fail: told 6 s after the silence."""
+    """The watch falls silent, a backend starts to drain, and calls fail: it counts 6 s after the silence."""
 
     def after_silence(self, *faults: CallFault) -> None:
         run = Run(QUIET_MS - 100.0, faults)
@@ -98,7 +98,7 @@
 
 
 class SilentWatchInALargeFleet(Forced):
-    """The same where calls are dear, and two failures that look alike are taken for an outage."""
+    """In a large fleet, calls are rare and two failures of one kind are taken for an outage."""
 
     def test_a_silent_watch_then_two_calls_that_hang(self) -> None:
         script = Script(
@@ -109,7 +109,7 @@
 
 
 class AfterAnOutage(Forced):
-    """A backend began to drain while discovery was away: told 6 s after the end."""
+    """A backend started to drain in an outage: it counts 6 s after the end."""
 
     def after(self, outages: tuple[ScriptedOutage, ...], *faults: CallFault) -> None:
         run = Run(outages[-1].end - 1000.0, faults)
@@ -145,7 +145,7 @@
         self.after((ScriptedOutage(9000.0, 20000.0, OutageKind.ERROR, 2000.0),), MUTE)
 
     def test_a_cut_then_a_hanging_call(self) -> None:
-        for end in (20000.0, 21000.0, 22000.0, 23000.0):  # a call hangs into its end for 2.6 s at most
+        for end in (20000.0, 21000.0, 22000.0, 23000.0):  # a call hangs for 2.6 s at most after its end
             with self.subTest(end):
                 self.after((replace(CUT[0], end=end),), MUTE)
 
@@ -168,13 +168,13 @@
                 self.in_time(Script((Change(CHANGE_MS),), (outage,), (Run(19950.0, faults),), peers=peers))
 
     def test_an_outage_that_begins_a_second_after_one_that_hid_a_drain(self) -> None:
-        # Read strictly: what the first has hidden counts as told 6 s after its end, whatever comes then.
+        # By the letter of the rule a change in the first one counts 6 s after its end, whatever comes then.
         outages = (ScriptedOutage(9000.0, 17000.0), ScriptedOutage(18000.0, 40000.0))
         self.in_time(Script((Change(CHANGE_MS),), outages))
 
 
 class AfterARestart(Forced):
-    """A backend began to drain while the process was away: told 6 s later, never in its first second."""
+    """A backend started to drain while no process ran: it counts 6 s later, but not in the first second."""
 
     def after(self, must_ask_ms: float, *faults: CallFault, away: float = 2000.0) -> None:
         run, restart = Run(9500.0, faults), Restart(9000.0, away)
@@ -188,7 +188,7 @@
         self.after(10000.0, MUTE, MUTE)
 
     def test_a_drain_as_a_process_of_a_large_fleet_is_killed_whose_first_call_comes_late(self) -> None:
-        for rank in (3, 8, 21):  # whose first calls come 3.4 to 3.9 s after a start
+        for rank in (3, 8, 21):  # their first calls come 3.4 to 3.9 s after a start
             for away in (2500.0, 2800.0):
                 script = Script((Change(9020.0),), restarts=(Restart(9000.0, away),), peers=200, rank=rank)
                 self.in_time(script)
@@ -214,7 +214,7 @@
 
 
 class Moved(Forced):
-    """SIGHUP while the watch is silent, or discovery away."""
+    """SIGHUP while the watch is silent or discovery is down."""
 
     def test_a_silent_watch_then_sighup_and_two_hanging_calls(self) -> None:
         run = Run(QUIET_MS, (MUTE, MUTE))
@@ -238,7 +238,7 @@
 
 
 def test_the_faults_of_a_script_are_no_outage() -> None:
-    """Danger: a script with more failures in a row than the rule allows would ask for what cannot be done."""
+    """A script with more failures in a row than the rule allows could not be satisfied."""
     for faults in ((MUTE, RESET, MUTE), (ERROR, ERROR, MUTE), (SLOW_ERROR, SLOW_ERROR)):
         assert len(faults) <= 3
         pairs = [(first, second) for first, second in pairwise(faults) if first.fails_at_once]
--- a/tests/test_drain_restarts.py
+++ b/tests/test_drain_restarts.py
@@ -1,6 +1,6 @@
-"""The rule ``drain`` on real processes that are killed and started anew with the list of before.
+"""The rule ``drain`` on real processes that are killed and restarted with an old list.
 
-What counts as told to the former process counts for the new one, and discovery need not answer its calls.
+What the previous process was notified of counts for the new one, even if discovery does not answer its calls.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from tests.loopback_servers import WAIT
 from tests.test_drain_faults import Forced
 
-JUDGED_S = 1.0  # so long after the last moment of telling the load still goes on
-UNTIL_KILL_S, AWAY_S = 2.4, 1.1  # a silent watch is not taken for broken before the kill
+JUDGED_S = 1.0  # time for which the load goes on after every change counts as notified
+UNTIL_KILL_S, AWAY_S = 2.4, 1.1  # the kill comes before the silence timeout of a watch
 
 
 class LargeFleet(FleetProcessTest):
-    """The settings tell of forty processes: their first calls to discovery are spread widely."""
+    """A fleet of forty processes in the settings, whose first calls to discovery are spread widely."""
 
     peers: ClassVar[int] = 40
 
     def restart(self, member: Member, rank: int) -> Member:
-        """Kill it, and start it anew with the list of the test's beginning."""
+        """Kill the process, and restart it with the initial list."""
         member.halt.set()
         member.process.kill()
         member.process.wait(WAIT)
@@ -35,37 +35,37 @@
         return self.spawn(f"{member.name}-anew", member.frontends[0], rank=rank)
 
     def test_a_watch_that_fell_silent_before_the_kill_and_calls_that_fail_after_it(self) -> None:
-        """A backend began to drain under the silence: told 6 s after it, whoever lives then."""
+        """A backend started to drain in the silence: it counts 6 s after that began, for either process."""
         first = self.fleet(3)
         self.shared.script(BUSY, Reply(Kind.NOTHING), BUSY)
         silent = self.shared.silence_watches()
         self.shared.drain(*DRAINED)
         self.pass_time(silent + UNTIL_KILL_S)
-        anew = [self.restart(member, rank) for rank, member in enumerate(first)]
-        self.await_serving(*anew)
-        for member in anew:
+        restarted = [self.restart(member, rank) for rank, member in enumerate(first)]
+        self.await_serving(*restarted)
+        for member in restarted:
             member.load()
 
-        def told(member: Member) -> float:
+        def notified_at(member: Member) -> float:
             return float(max(silent + ALL_TOLD_S, member.serving_at))
 
         self.pass_time(silent + ALL_TOLD_S + 3 * JUDGED_S)
-        self.judge_recovered(told)
+        self.judge_recovered(notified_at)
 
 
 class CutShort(FleetProcessTest):
-    """Discovery has written a delta, but only its first bytes come, and then a reset."""
+    """Discovery has written a delta, of which only the first bytes arrive, followed by a reset."""
 
     def test_the_first_bytes_of_a_delta_and_a_reset_half_a_second_later(self) -> None:
-        """Of the chunk's size, of the object, and but for its last byte, to a process each."""
+        """One process each gets part of the chunk's size, part of the object, and nearly all of it."""
         for member, count in zip(self.fleet(3), (1, 6, 150), strict=True):
             member.frontends[0].form, member.frontends[0].cut_bytes = Form.CUT, count
         drained = self.shared.drain(*DRAINED)
         self.pass_time(drained + 2 * JUDGED_S)
         self.judge_recovered(drained + ALL_TOLD_S)
 
-    def test_the_first_byte_lies_unread_while_the_process_stands_still(self) -> None:
-        """Requests wait there as well: they are met before the reactor has read any of it."""
+    def test_the_first_byte_is_unread_while_the_process_is_stopped(self) -> None:
+        """Requests are unread as well, and are processed before the reactor reads the first byte."""
         member = self.fleet(1)[0]
         member.frontends[0].form, member.frontends[0].cut_bytes = Form.CUT, 1
         member.process.send_signal(signal.SIGSTOP)
@@ -77,7 +77,7 @@
 
 
 class JustBeforeAnOutage(Forced):
-    """A process is given an older list than its former life was told, and discovery goes down."""
+    """A process starts with an older list than the previous one was notified of, and discovery goes down."""
 
     def test_a_start_with_an_older_list_half_a_second_before_an_outage(self) -> None:
         restart, outage = Restart(6500.0, 300.0, stale=True), ScriptedOutage(7100.0, 12000.0)
--- a/tests/test_drain_scripts.py
+++ b/tests/test_drain_scripts.py
@@ -1,6 +1,7 @@
-"""No request goes to a backend more than 250 ms after its going counts as told, whatever fails and when.
+"""Guards against requests to a backend more than 250 ms after its departure counts as notified.
 
-The real parts run on a virtual clock through drawn scripts of faults; ``LUPINLINK_EXAMPLES`` sets how many.
+The real components run on a virtual clock through random scripts of faults; ``LUPINLINK_EXAMPLES`` sets how
+many.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 
 class Driven(unittest.TestCase):
-    """A test that plays scripts."""
+    """Base class of tests that run scripts."""
 
     worst_ms: ClassVar[float]
     scripts: ClassVar[int]
 
     @classmethod
     def setUpClass(cls) -> None:
-        logging.disable(logging.ERROR)  # the program tells each end of a watch
+        logging.disable(logging.ERROR)  # the program logs the end of each watch
         cls.worst_ms, cls.scripts = float("-inf"), 0
 
     @classmethod
@@ -43,7 +44,7 @@
         print(f"{cls.__name__}: {cls.scripts} scripts, worst lateness {cls.worst_ms:.0f} ms")
 
     def play(self, script: Script) -> None:
-        """None late, and requests are sent again at the end."""
+        """Assert that no request is late, and that requests are sent again at the end."""
         result = drive(script)
         type(self).scripts += 1
         type(self).worst_ms = max(self.worst_ms, result.worst_ms)
@@ -55,7 +56,7 @@
 
 
 class Drawn(Driven):
-    """Drawn scripts."""
+    """Random scripts."""
 
     @plan
     @given(asked.filter(lambda script: not outages_meet(script)))
@@ -69,7 +70,7 @@
 
 
 class DrawnAmongThousands(Driven):
-    """The same with so long a list that it is taken in many turns of the event loop."""
+    """The same with a list so long that it is applied in many iterations of the event loop."""
 
     @few
     @given(asked.filter(lambda script: not outages_meet(script)), st.sampled_from(PEERS))
