--- a/lupinlink/net/watch_listener.py
+++ b/lupinlink/net/watch_listener.py
@@ -29,9 +29,9 @@
         A lost response to a watch may have held an update that counts as notified from its write on. The
         response to a request for the full list counts only some time later.
         """
-        may_have_told = self.answered and not requested_full_list
+        may_have_notified = self.answered and not requested_full_list
         return DiscoveryCallFailed(
-            self.reached, self.answered, self.took_ms, self.silent, may_have_told, self.refused, call
+            self.reached, self.answered, self.took_ms, self.silent, may_have_notified, self.refused, call
         )
 
 
--- a/tests/drain_fleet.py
+++ b/tests/drain_fleet.py
@@ -24,8 +24,8 @@
 from tests.proxy_process import SETTINGS, ProxyProcessTest
 
 GRACE_S, SLACK_S = 0.25, 0.05  # grace after a change counts as notified; extra time for sockets
-ALL_TOLD_S = 6.0  # from a change at a reachable discovery, or from a watch falling silent
-TOLD_AFTER_END_S = 0.3  # measured: earliest time after the end of a watch at which its change counts
+ALL_NOTIFIED_S = 6.0  # from a change at a reachable discovery, or from a watch falling silent
+NOTIFIED_AFTER_END_S = 0.3  # earliest time after the end of a watch at which its change counts
 START_S = 1.0  # allowed time to start: a process counts from a second before it serves
 UIDS = ("s-0", "s-1", "s-2", "s-3")
 DRAINED = ("s-0", "s-1")  # half of the backends, so that most requests would reach one
--- a/tests/soak_fleet.py
+++ b/tests/soak_fleet.py
@@ -16,7 +16,7 @@
 from typing import ClassVar
 
 from tests.discovery_replies import REPLIES, Form
-from tests.drain_fleet import GRACE_S, PACE_S, SLACK_S, TOLD_AFTER_END_S, UIDS, FleetProcessTest
+from tests.drain_fleet import GRACE_S, NOTIFIED_AFTER_END_S, PACE_S, SLACK_S, UIDS, FleetProcessTest
 from tests.drain_oracle import DrainOracle, OpenWatch, Outage, Process
 from tests.loopback_servers import WAIT
 from tests.soak_verdict import Life, Verdict
@@ -96,8 +96,8 @@
             ended, uid = self.shared.end_watches(), UIDS[len(self.had)]
             self.drain_one()
         for frontend in watched:
-            frontend.written.setdefault(uid, ended + TOLD_AFTER_END_S)
-        self.pass_time(ended + TOLD_AFTER_END_S + 1.0)
+            frontend.written.setdefault(uid, ended + NOTIFIED_AFTER_END_S)
+        self.pass_time(ended + NOTIFIED_AFTER_END_S + 1.0)
 
     def outage(self) -> None:
         begin = time.monotonic()
--- a/tests/test_drain_answers.py
+++ b/tests/test_drain_answers.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from tests.discovery_replies import Kind, Reply
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, TOLD_AFTER_END_S, FleetProcessTest, Member
+from tests.drain_fleet import ALL_NOTIFIED_S, DRAINED, NOTIFIED_AFTER_END_S, FleetProcessTest, Member
 from tests.drain_script import (
     CallFault,
     Change,
@@ -64,8 +64,8 @@
         self.shared.end_watches(member.frontends[0] for member in ended)
         self.shared.silence_watches()
         drained = self.shared.drain(*DRAINED)
-        self.pass_time(drained + ALL_TOLD_S + JUDGED_S)
-        self.judge_recovered(drained + ALL_TOLD_S)
+        self.pass_time(drained + ALL_NOTIFIED_S + JUDGED_S)
+        self.judge_recovered(drained + ALL_NOTIFIED_S)
 
 
 class WatchesEndedInsteadOfUpdated(FleetProcessTest):
@@ -89,7 +89,7 @@
             ended = self.shared.end_watches()
             self.shared.drain(*DRAINED)
         self.pass_time(ended + SETTLED_S)
-        self.judge_recovered(ended + TOLD_AFTER_END_S)
+        self.judge_recovered(ended + NOTIFIED_AFTER_END_S)
 
 
 class AnswerLostAfterRefusals(Forced):
--- a/tests/test_drain_crossings.py
+++ b/tests/test_drain_crossings.py
@@ -14,7 +14,7 @@
 from typing import Any, ClassVar
 
 from tests.discovery_replies import WHOLE_FORMS, Form
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, GRACE_S, SLACK_S, FleetProcessTest, Member
+from tests.drain_fleet import ALL_NOTIFIED_S, DRAINED, GRACE_S, SLACK_S, FleetProcessTest, Member
 from tests.loopback_servers import OK, WAIT
 
 BURST, PIPELINED = 100, 20  # connections with a request each; and requests on one connection
@@ -133,7 +133,7 @@
             self.pass_time(time.monotonic() + 0.015)
         for member in leaving:
             self.assertEqual(member.process.wait(WAIT), 0)
-        late = ALL_TOLD_S if self.settings.get("MembershipMode") != "automatic" else 0.0
+        late = ALL_NOTIFIED_S if self.settings.get("MembershipMode") != "automatic" else 0.0
         for member in leaving:
             self.assertGreater(self.receipts_after(member, drained + GRACE_S + SLACK_S), 0, member.name)
         self.judge(drained + late)
@@ -201,7 +201,7 @@
         added = self.spawn("anew", self.shared.frontend())
         self.await_serving(added)
         added.load()
-        self.pass_time(began + ALL_TOLD_S)
+        self.pass_time(began + ALL_NOTIFIED_S)
         notified_at = self.shared.speak_again()
         self.pass_time(notified_at + JUDGED_S)
         for member in self.members:
--- a/tests/test_drain_processes.py
+++ b/tests/test_drain_processes.py
@@ -13,7 +13,7 @@
 from typing import ClassVar
 
 from tests.drain_discovery import BUSY, SLOW, Form, Kind, Reply, SharedDiscovery
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, START_S, FleetProcessTest, Member
+from tests.drain_fleet import ALL_NOTIFIED_S, DRAINED, START_S, FleetProcessTest, Member
 from tests.loopback_servers import WAIT
 
 JUDGED_S = 1.0  # time for which the load goes on after every change counts as notified
@@ -37,7 +37,7 @@
         self.pass_time(restarted.serving_at + 8.2)
         self.shared.script(BUSY, BUSY, SLOW)
         members[1].frontends[0].script = deque((BUSY, SLOW))
-        notified_at = self.shared.come_back() + ALL_TOLD_S
+        notified_at = self.shared.come_back() + ALL_NOTIFIED_S
         self.pass_time(notified_at + JUDGED_S)
         self.judge_recovered(notified_at)
 
@@ -50,7 +50,7 @@
     def test_silent_watches_and_three_calls_to_the_next_answer(self) -> None:
         self.fleet()
         self.shared.script(Reply(Kind.NOTHING), BUSY)
-        notified_at = self.shared.silence_watches() + ALL_TOLD_S
+        notified_at = self.shared.silence_watches() + ALL_NOTIFIED_S
         self.shared.drain(*DRAINED)
         self.pass_time(notified_at + JUDGED_S)
         self.judge_recovered(notified_at)
@@ -74,7 +74,7 @@
             member.load()
 
         def notified_at(member: Member) -> float:
-            return max(member.spawned_at, member.serving_at - START_S) + ALL_TOLD_S
+            return max(member.spawned_at, member.serving_at - START_S) + ALL_NOTIFIED_S
 
         self.pass_time(max(map(notified_at, members)) + JUDGED_S)
         self.judge_recovered(notified_at)
@@ -125,14 +125,14 @@
         self.assertTrue(
             all(member.frontends[0].written for member in self.first), "the first watch has ended"
         )
-        self.pass_time(drained + ALL_TOLD_S + JUDGED_S)
-        self.judge_recovered(drained + ALL_TOLD_S)
+        self.pass_time(drained + ALL_NOTIFIED_S + JUDGED_S)
+        self.judge_recovered(drained + ALL_NOTIFIED_S)
 
     def test_the_first_discovery_goes_down_and_the_new_one_is_crowded(self) -> None:
         drained = self.move_there_back_and_there()
         self.shared.go_down()
-        self.pass_time(drained + ALL_TOLD_S + JUDGED_S)
-        self.judge_recovered(drained + ALL_TOLD_S)
+        self.pass_time(drained + ALL_NOTIFIED_S + JUDGED_S)
+        self.judge_recovered(drained + ALL_NOTIFIED_S)
 
 
 if __name__ == "__main__":
--- a/tests/test_drain_restarts.py
+++ b/tests/test_drain_restarts.py
@@ -12,7 +12,7 @@
 
 from tests.discovery_replies import BUSY, Form, Kind, Reply
 from tests.drain_discovery import CUT_S
-from tests.drain_fleet import ALL_TOLD_S, DRAINED, FleetProcessTest, Member
+from tests.drain_fleet import ALL_NOTIFIED_S, DRAINED, FleetProcessTest, Member
 from tests.drain_script import Change, Restart, Script, ScriptedOutage
 from tests.loopback_servers import WAIT
 from tests.test_drain_faults import Forced
@@ -47,9 +47,9 @@
             member.load()
 
         def notified_at(member: Member) -> float:
-            return float(max(silent + ALL_TOLD_S, member.serving_at))
+            return float(max(silent + ALL_NOTIFIED_S, member.serving_at))
 
-        self.pass_time(silent + ALL_TOLD_S + 3 * JUDGED_S)
+        self.pass_time(silent + ALL_NOTIFIED_S + 3 * JUDGED_S)
         self.judge_recovered(notified_at)
 
 
@@ -62,7 +62,7 @@
             member.frontends[0].form, member.frontends[0].cut_bytes = Form.CUT, count
         drained = self.shared.drain(*DRAINED)
         self.pass_time(drained + 2 * JUDGED_S)
-        self.judge_recovered(drained + ALL_TOLD_S)
+        self.judge_recovered(drained + ALL_NOTIFIED_S)
 
     def test_the_first_byte_is_unread_while_the_process_is_stopped(self) -> None:
         """Requests are unread as well, and are processed before the reactor reads the first byte."""
@@ -73,7 +73,7 @@
         self.pass_time(drained + CUT_S / 2)
         member.process.send_signal(signal.SIGCONT)
         self.pass_time(drained + 2 * JUDGED_S)
-        self.judge_recovered(drained + ALL_TOLD_S)
+        self.judge_recovered(drained + ALL_NOTIFIED_S)
 
 
 class JustBeforeAnOutage(Forced):
