--- a/lupinlink/net/backend_list.py
+++ b/lupinlink/net/backend_list.py
@@ -34,8 +34,8 @@
         self.version = 0
         self.ready = 0  # number of backends that take new requests
         self._entries: dict[str, ListEntry] = {}
-        self._last_starts: dict[str, float] = {}  # last start time by name, oldest removal first
-        self._older_since: float | None = None  # first of the older updates since the last newer one
+        self._last_starts: dict[str, float] = {}  # of removed backends, oldest removal first
+        self._older_since: float | None = None  # when older updates began, if the last update was one
         self._out_by_older = False  # an older update took backends out since the last full list
 
     def __len__(self) -> int:
--- a/lupinlink/net/list_updater.py
+++ b/lupinlink/net/list_updater.py
@@ -102,9 +102,8 @@
         if change.kind == api.MembershipKind.CACHED:
             self._publish(change.kind, change.entries, True)
             return
-        entries = sorted(
-            change.entries, key=lambda entry: entry.ready
-        )  # first those that must get no more requests
+        # Backends that must get no more requests come first.
+        entries = sorted(change.entries, key=lambda entry: entry.ready)
         while len(entries) > SLICE_ENTRIES:
             self._publish(change.kind, entries[:SLICE_ENTRIES], False)
             del entries[:SLICE_ENTRIES]
--- a/lupinlink/net/watch.py
+++ b/lupinlink/net/watch.py
@@ -44,7 +44,7 @@
         self.number = 0  # number of this call in this process; set by the caller
         self._listener, self._clock, self._times = listener, clock, times
         self._awaits_full_list, self._pushed = full, pushed
-        self.requests_full_list = full  # stays true once the full list has come
+        self.requests_full_list = full  # also after it has come
         self._parser = http1.ResponseParser(MAX_OBJECT_BYTES, sys.maxsize)
         self._splitter = ObjectSplitter()
         self.started_at = self._last_active_at = clock.now()
