--- a/lupinlink/net/fleet_extension.py
+++ b/lupinlink/net/fleet_extension.py
@@ -128,7 +128,7 @@
     def utilization(self) -> Mapping[str, float]:
         """Utilization (1.0: all cores busy) by name, as application servers last reported it to this process.
 
-        A report counts for 10 s, since each of many proxies sees few of a server's reports.
+        A report counts for 10 s. With many proxies, each one sees few of a server's reports.
         """
         ...
 
--- a/lupinlink/net/lifecycle.py
+++ b/lupinlink/net/lifecycle.py
@@ -10,8 +10,8 @@
 import math
 from enum import Enum
 
-# After the call to drain, the front still sends new connections for about 0.3 s, and connections open 4 s
-# later are lost. Connections in use close after their next answer; idle ones are closed at this time,
+# After the call to drain, the front still sends new connections for about 0.3 s; connections still open 4 s
+# after the call are too late. Connections in use close after their next answer; idle ones are closed at this time,
 # when most clients have had that chance.
 DRAIN_IDLE_MS = 1500.0
 # After SIGTERM, new connections arrive for up to 0.4 s; one that arrives after 0.7 s and is open at the kill
