--- a/lupinlink/net/lifecycle.py
+++ b/lupinlink/net/lifecycle.py
@@ -11,8 +11,8 @@
 from enum import Enum
 
 # After the call to drain, the front still sends new connections for about 0.3 s; connections still open 4 s
-# after the call are too late. Connections in use close after their next answer; idle ones are closed at this time,
-# when most clients have had that chance.
+# after the call are too late. Connections in use close after their next answer; idle ones are closed at this
+# time, when most clients have had that chance.
 DRAIN_IDLE_MS = 1500.0
 # After SIGTERM, new connections arrive for up to 0.4 s; one that arrives after 0.7 s and is open at the kill
 # is lost. The kill comes at the earliest 0.7 s plus the longest deadline (at most 3 s) after SIGTERM.
