--- a/lupinlink/net/service.py
+++ b/lupinlink/net/service.py
@@ -65,7 +65,7 @@
         )
         self._client_drain = ClientDrain(components, self._exit)
         self._takeover = ListenerTakeover(
-            config, limits, capacity, components, self._set_drained, self._client_drain.watch
+            config, limits, capacity, components, self._set_drained, self._client_drain.start
         )
         calls: dict[str, dict[str, Handler]] = {
             "/control/ready": {"GET": yes_or_no(lambda: self._lifecycle.ready(self._discovery_client.ready))},
@@ -182,7 +182,7 @@
     def _out_of_service(self) -> bool:
         self._lifecycle.out_of_service(self._components.clock.now())
         self._takeover.pass_on(drain=True)
-        self._client_drain.watch()
+        self._client_drain.start()
         return True
 
     def _in_service(self) -> bool:
@@ -196,7 +196,7 @@
             log.info("stopping", extra={"kv": {"open": self._components.proxy.open}})
             if self._fleet_host is not None:
                 self._fleet_host.stop()
-            self._client_drain.watch()
+            self._client_drain.start()
 
     def _exit(self) -> None:
         """Shut down; no request can reach this process any more."""
--- a/tests/test_updates_before_write.py
+++ b/tests/test_updates_before_write.py
@@ -45,7 +45,7 @@
             with self.subTest(name):
                 self.servers.update_list([], True)
                 self.loop.learn()
-                server = self.loop.kept()[0] if kept else None
+                server = self.loop.idle_connection()[0] if kept else None
                 before = self.servers.counters["attempts_not_begun"]
                 self.servers.read_pending_updates = news_that(change)
                 ends = begin()
@@ -79,7 +79,7 @@
         self.assert_not_begun(self.probe, kept=False)
 
     def test_an_attempt_that_ends_meanwhile_is_not_written_and_its_connection_stays_idle(self) -> None:
-        server, connection = self.loop.kept()
+        server, connection = self.loop.idle_connection()
         attempts: list[Any] = []
         start = self.servers._send
 
@@ -109,7 +109,7 @@
         )
         self.addCleanup(self.discovery_client.stop)
         self.servers.read_pending_updates = self.discovery_client.read_pending_updates
-        self.server, _ = self.loop.kept()
+        self.server, _ = self.loop.idle_connection()
         self.discovery_client.call()
         self.loop.turn_until(self.discovery.watches.qsize)
         self.watch = self.discovery.watch()
