--- a/lupinlink/commands/__init__.py
+++ b/lupinlink/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module a sub-command, its usage in its docstring; ``cli`` imports only the one."""
+"""The command line: a module per sub-command, its docstring being the usage; ``cli`` imports only that one."""
--- a/lupinlink/commands/check.py
+++ b/lupinlink/commands/check.py
@@ -1,4 +1,4 @@
-"""Read a proxy's configuration, say what is wrong with it or what it holds, and exit.
+"""Validate a proxy's configuration, print a summary or what is wrong with it, and exit.
 
 Usage:
   lupinlink check [--config=FILE] [--policy=FILE]
@@ -6,12 +6,12 @@
 
 Options:
   --config=FILE  The configuration; else LB_CONFIG names it.
-  --policy=FILE  A policy of quotas, held against that configuration's settings (needs lupinlink[fleet]).
+  --policy=FILE  A quota policy, checked against that configuration (needs lupinlink[fleet]).
   -h --help      Show this text.
 
-LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT go before what the configuration says.
+LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override the configuration.
 
-Exit: 0 it is good; 1 its list of servers, or the policy, is bad; 2 it is bad.
+Exit: 0 valid; 1 the list of backends in it, or the policy, is invalid; 2 the configuration is invalid.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def _policy_is_good(file: str, settings: Settings) -> bool:
-    """Say what is wrong with a policy, a line each, or what it holds."""
+    """Print what is wrong with a policy, one line each, or its summary."""
     try:
         from lupinlink.quota.loading import look, read_text
     except ImportError as exc:
--- a/lupinlink/commands/input_errors.py
+++ b/lupinlink/commands/input_errors.py
@@ -1,4 +1,4 @@
-"""How a command says that what it was given cannot be used."""
+"""Reports invalid input to a command."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 
 def report_input_error(exc: ValueError) -> int:
-    """One line on standard error, with its code and what to do where it has a type of its own; the exit code:
-    2 for settings that are bad, 1 for anything else."""
+    """Print one line on standard error, with code and remedy if the error has them; return the exit code.
+
+    The exit code is 2 for invalid settings and 1 for anything else.
+    """
     text = exc.line() if isinstance(exc, LupinError) else " ".join(str(exc).split())
     print(f"lupinlink: {text}", file=sys.stderr)
     return 2 if isinstance(exc, SettingsError) else 1
--- a/lupinlink/commands/serve.py
+++ b/lupinlink/commands/serve.py
@@ -6,14 +6,14 @@
 
 Options:
   --config=FILE  The configuration; else LB_CONFIG names it.
-  --fleet=FILE   What it agrees on with the fleet; else LB_FLEET names it; without one it serves alone.
+  --fleet=FILE   The fleet file; else LB_FLEET names it; without one the proxy serves on its own.
   -h --help      Show this text.
 
-LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT go before what the configuration says.
-LB_LOG is debug, info (by default) or warning; debug has a line for each attempt.
+LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override the configuration.
+LB_LOG is debug, info (by default) or warning; debug logs a line for each attempt.
 
-Signals: SIGTERM and SIGINT stop it, SIGHUP reads the configuration anew, SIGUSR1 logs the counters.
-Exit: 0 stopped; 1 it could not serve; 2 the configuration or the fleet file is bad.
+Signals: SIGTERM and SIGINT stop it, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
+Exit: 0 stopped; 1 it could not serve; 2 the configuration or the fleet file is invalid.
 """
 
 from __future__ import annotations
@@ -50,9 +50,9 @@
 
 
 def load_fleet_extension(file: str, config: Config) -> FleetExtension | None:
-    """What a fleet file adds; None after one line on standard error, if it cannot be used.
+    """Load the fleet extension; None, after one line on standard error, if the fleet file is unusable.
 
-    Imported only here: a plain serve must load nothing of it.
+    Its modules are imported only here, since serving without a fleet file must not load them.
     """
     from twisted.internet import reactor
 
--- a/lupinlink/config/explain.py
+++ b/lupinlink/config/explain.py
@@ -1,4 +1,4 @@
-"""What is allowed where msgspec found something wrong: it names place and fault, not the range. Pure."""
+"""Adds what is allowed to msgspec's validation errors, which name only key and fault. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def explain(kind: Any, text: str) -> tuple[str, str, str]:
-    """What a ValidationError's text says of a value read as ``kind``: key, what is wrong, what is allowed.
+    """Split the text of a ValidationError for the type ``kind`` into key, what is wrong and what is allowed.
 
-    The key is that below the value, dotted as in the file; empty: the value itself.
+    The key is relative to the value, dotted as in the file; it is empty for the value itself.
     """
     found = PLACE.match(text)
     what, below = (found[1], found[2] or "") if found else (text, "")
@@ -39,7 +39,7 @@
 
 
 def _plain(node: Any) -> Any:
-    """Without ``| None``: TOML has no such value."""
+    """The type without ``| None``, a value that TOML does not have."""
     if isinstance(node, inspect.UnionType):
         return next(one for one in node.types if not isinstance(one, inspect.NoneType))
     return node
@@ -51,7 +51,7 @@
 
 
 def allowed(node: Any) -> str:
-    """What a type allows, in words."""
+    """Describe the values that a type allows."""
     node = _plain(node)
     match node:
         case inspect.BoolType():
--- a/lupinlink/config/files.py
+++ b/lupinlink/config/files.py
@@ -1,4 +1,4 @@
-"""Reads the files that people write; the only I/O of this package."""
+"""Reads the fleet file from disk; the only I/O of this package."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def load_fleet(path: str) -> FleetFile:
-    """Read and check a fleet file. Raises FleetFileUnreadableError, and what ``read_fleet`` raises."""
+    """Read and validate a fleet file. Raises FleetFileUnreadableError, and what ``read_fleet`` raises."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as exc:
--- a/lupinlink/config/fleet.py
+++ b/lupinlink/config/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet file: through what processes agree, who this one is, and which parts it takes. Pure.
+"""The fleet file: the agreement service, this process's identity and its components. Performs no I/O.
 
-Every key with unit, range and default: deploy/fleet.toml. A part is off unless its table is there; its
-settings are a msgspec Struct of its own package, loaded only then.
+deploy/fleet.toml lists every key with unit, range and default. A component is off unless the file has its
+table; its settings are a msgspec Struct of its own package, which is imported only then.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from lupinlink.config.explain import explain
 from lupinlink.errors import LupinError
 
-COMPONENTS = {  # by table: where the Struct of its settings is
+COMPONENTS = {  # by table: module and class of the settings
     "release": "lupinlink.release.settings:ReleaseSettings",
     "quota": "lupinlink.quota.settings:QuotaSettings",
     "migration": "lupinlink.migration.settings:MigrationSettings",
@@ -29,15 +29,19 @@
 class AgreementSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """The ``[agreement]`` table."""
 
-    form: Literal["consul", "memory"] = "consul"  # memory: this process agrees with itself alone
-    address: Annotated[str, Meta(pattern=r"^[^\s:/]+:[0-9]{1,5}\Z")] = "127.0.0.1:8500"  # IPv4 or a name
-    prefix: Annotated[str, Meta(pattern=r"^([^\s/]+/)+\Z", max_length=200)] = "lupinlink/"  # before all keys
-    token: Annotated[str, Meta(max_length=200)] = ""  # of Consul's access control; empty: none
-    lease_s: Annotated[float, Meta(ge=1.0, le=86400.0)] = 10.0  # without renewal
-    lock_delay_s: Annotated[float, Meta(ge=0.0, le=60.0)] = 1.0  # after a lease that ended
+    form: Literal["consul", "memory"] = "consul"  # memory: for a fleet of one process
+    address: Annotated[str, Meta(pattern=r"^[^\s:/]+:[0-9]{1,5}\Z")] = (
+        "127.0.0.1:8500"  # IPv4 address or host name
+    )
+    prefix: Annotated[str, Meta(pattern=r"^([^\s/]+/)+\Z", max_length=200)] = "lupinlink/"  # of all keys
+    token: Annotated[str, Meta(max_length=200)] = ""  # for Consul's access control; empty: none
+    lease_s: Annotated[float, Meta(ge=1.0, le=86400.0)] = 10.0  # time to live of a lease
+    lock_delay_s: Annotated[float, Meta(ge=0.0, le=60.0)] = (
+        1.0  # after the end of a lease, during which its records cannot be locked
+    )
     call_ms: Annotated[float, Meta(ge=100.0, le=60000.0)] = 2000.0  # time-out of a call
-    ask_ms: Annotated[float, Meta(ge=100.0, le=60000.0)] = 1000.0  # between calls, on average
-    wait_s: Annotated[float, Meta(ge=1.0, le=600.0)] = 10.0  # of one while nothing changes
+    ask_ms: Annotated[float, Meta(ge=100.0, le=60000.0)] = 1000.0  # average interval between calls
+    wait_s: Annotated[float, Meta(ge=1.0, le=600.0)] = 10.0  # longest wait of a blocking query
 
     @property
     def host_and_port(self) -> tuple[str, int]:
@@ -46,37 +50,37 @@
         return host, int(port)
 
     def check(self) -> None:
-        """What no bound of one key tells. Raises FleetFileError, its text beginning with the key."""
+        """Check what bounds of single keys do not. Raises FleetFileError; its text begins with the key."""
         if not 0 < self.host_and_port[1] <= 65535:
             raise FleetFileError(f"address: port {self.host_and_port[1]}; allowed: 1 to 65535")
         if self.call_ms > self.lease_s * 1000.0 / 3.0:
             raise FleetFileError(
-                f"call_ms: {self.call_ms:g} is over a third of lease_s: few slow calls would lose the lease; "
-                f"allowed: to {self.lease_s * 1000.0 / 3.0:g}"
+                f"call_ms: {self.call_ms:g} is over a third of lease_s, so a few slow calls would lose the "
+                f"lease; allowed: to {self.lease_s * 1000.0 / 3.0:g}"
             )
 
 
 class MemberSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """The ``[member]`` table."""
 
-    zone: MaybeName = ""  # empty: as the proxy's own settings have it
-    version: MaybeName = ""  # empty: the program's
-    pool: MaybeName = ""  # for migrations
+    zone: MaybeName = ""  # empty: as in the proxy's own settings
+    version: MaybeName = ""  # empty: the version of the program
+    pool: MaybeName = ""  # of proxies, for migrations
 
 
 class FleetFile(Struct, frozen=True):
-    """What was read."""
+    """The validated content of a fleet file."""
 
     agreement: AgreementSettings
     member: MemberSettings
-    parts: Mapping[str, Any]  # by table: the settings of the parts that are on
-    folder: str = ""  # of the file, where a path in it that is not absolute begins
+    parts: Mapping[str, Any]  # by table: the settings of the components that are on
+    folder: str = ""  # of the file; relative paths in it start there
 
 
 def read_fleet(raw: Mapping[str, Any], name: str, folder: str = "") -> FleetFile:
-    """Check what a fleet file holds; ``name`` is the file's, for the one line that tells what is wrong.
+    """Validate the content of a fleet file; ``name`` is the file's, for error messages.
 
-    Raises FleetFileError, FleetComponentError, and what a part's own settings raise.
+    Raises FleetFileError, FleetComponentError, and what the components' own settings raise.
     """
     unknown = raw.keys() - COMPONENTS.keys() - {"agreement", "member"}
     if unknown:
--- a/lupinlink/coordination/__init__.py
+++ b/lupinlink/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""What processes agree on: records with revisions, compare-and-set, leases, fences and watches."""
+"""Coordination between processes: versioned records, compare-and-set, leases, fencing tokens and watches."""
--- a/lupinlink/coordination/blocking_query.py
+++ b/lupinlink/coordination/blocking_query.py
@@ -1,4 +1,4 @@
-"""A standing question: asked again and again, each asking waiting in the service until something changes."""
+"""Watches a prefix with blocking queries: each waits in the service until something changes."""
 
 from __future__ import annotations
 
@@ -18,45 +18,45 @@
 from lupinlink.errors import LupinError
 
 log = logging.getLogger(__name__)
-MOST_AGAIN_MS = 10000.0  # between questions that failed
-SHORTER = 0.4  # of a question's wait, drawn
-SPREAD_MS = 100.0  # a change wakes every process at once; they ask again within this
+MAX_RETRY_MS = 10000.0  # longest wait after failed queries
+WAIT_JITTER = 0.4  # random share by which a query's wait is shortened
+REQUERY_SPREAD_MS = 100.0  # a change answers every process at once; their next queries spread over this
 
 
 class BlockingQuery:
-    """A ``contract.Watch``. What fails in a listener is logged and ends nothing."""
+    """A ``contract.Watch``. Exceptions raised by a listener are logged; the watch goes on."""
 
     def __init__(
         self,
         transport: Transport,
         clock: Clock,
-        pace: CallRateLimiter,
+        rate_limiter: CallRateLimiter,
         draw: Callable[[], float],
         prefix: str,
-        pacing: CallTiming,
-        seen: Callable[[View], None],
-        silent: Callable[[LupinError], None],
+        timing: CallTiming,
+        on_view: Callable[[View], None],
+        on_error: Callable[[LupinError], None],
     ) -> None:
-        self._transport, self._clock, self._pace, self._draw = transport, clock, pace, draw
-        self._prefix, self._wait_ms, self._seen, self._silent = prefix, pacing.wait_ms, seen, silent
-        self._backoff = Backoff(pacing.retry_ms, MOST_AGAIN_MS, draw)
-        self._told: View | None = None
-        self._index = 0  # as the service gave it
+        self._transport, self._clock, self._rate_limiter, self._draw = transport, clock, rate_limiter, draw
+        self._prefix, self._wait_ms, self._on_view, self._on_error = prefix, timing.wait_ms, on_view, on_error
+        self._backoff = Backoff(timing.retry_ms, MAX_RETRY_MS, draw)
+        self._last_view: View | None = None
+        self._index = 0  # of the last response; 0: the next query returns at once
         self._stopped = False
-        self._call = clock.at(clock.now() + pace.wait_ms(clock.now()), self._ask)
+        self._call = clock.at(clock.now() + rate_limiter.wait_ms(clock.now()), self._query)
 
     def stop(self) -> None:
         self._stopped = True
         self._clock.drop(self._call)
 
-    def _again(self, wait_ms: float) -> None:
+    def _schedule(self, wait_ms: float) -> None:
         at_ms = self._clock.now() + wait_ms
-        self._call = self._clock.at(at_ms + self._pace.wait_ms(at_ms), self._ask)
+        self._call = self._clock.at(at_ms + self._rate_limiter.wait_ms(at_ms), self._query)
 
-    def _ask(self) -> None:
+    def _query(self) -> None:
         asked_ms = self._clock.now()
-        # Danger: questions that one change has woken together would come together ever after.
-        wait_ms = self._wait_ms * (1.0 - SHORTER * self._draw())
+        # Without jitter, queries that one change answers together would also time out together from then on.
+        wait_ms = self._wait_ms * (1.0 - WAIT_JITTER * self._draw())
         found = self._transport.read(self._prefix, self._index, wait_ms)
         found.addCallbacks(self._answered, self._failed, callbackArgs=(asked_ms,))
 
@@ -64,30 +64,30 @@
         if self._stopped:
             return
         self._backoff.reset()
-        # Danger: the highest index so far would be the wrong one; after a restore nothing comes up to it.
+        # Not the highest index so far, since after a restore the service may never reach that again.
         self._index = found.index
-        before = self._told
-        self._told = next_view(before, View(self._prefix, found.records, found.index, asked_ms))
-        if before is not None and self._told.index < before.index:
+        before = self._last_view
+        self._last_view = next_view(before, View(self._prefix, found.records, found.index, asked_ms))
+        if before is not None and self._last_view.index < before.index:
             why = RestoredError(f"below {self._prefix}").line()
             log.warning("restored", extra={"kv": {"why": why}})
-        self._again(self._draw() * SPREAD_MS)
-        self._tell(self._seen, self._told)
+        self._schedule(self._draw() * REQUERY_SPREAD_MS)
+        self._notify(self._on_view, self._last_view)
 
     def _failed(self, failure: Failure) -> None:
         if self._stopped:
             return
-        self._index = 0  # what it missed is told at once, and freshly
-        self._again(self._backoff.next_ms())
+        self._index = 0  # so the next query returns at once with the current state
+        self._schedule(self._backoff.next_ms())
         error = failure.value
         if not isinstance(error, LupinError):
-            log.error("a question to the agreement service failed", exc_info=failure.value)
+            log.error("a query to the agreement service failed", exc_info=failure.value)
             error = CoordinationError(f"{type(failure.value).__name__}: {failure.value}")
-        self._tell(self._silent, error)
+        self._notify(self._on_error, error)
 
     @staticmethod
-    def _tell(listener: Callable[[Any], None], what: View | LupinError) -> None:
+    def _notify(listener: Callable[[Any], None], what: View | LupinError) -> None:
         try:
             listener(what)
         except Exception:
-            log.exception("a listener of the fleet's records failed")
+            log.exception("a listener of the agreement service's records failed")
--- a/lupinlink/coordination/commit_validation.py
+++ b/lupinlink/coordination/commit_validation.py
@@ -1,4 +1,4 @@
-"""Whether a commit is one that the service takes at all. Pure; both forms ask here and so refuse alike."""
+"""Validates commits before they are sent, so that both transports reject the same ones. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 def operation_count(step: Step) -> int:
-    """Operations of the service that a step takes: one, and two for a Delete at a revision.
+    """The number of Consul operations that a step takes: one, and two for a Delete at a revision.
 
-    The service's own delete at a revision says yes when the record has long gone; the step must not, or two
-    processes would both believe that they removed it.
+    Consul's own delete at a revision (delete-cas) also succeeds when the record does not exist any more. The
+    step must fail then, or two processes would both believe that they removed the record.
     """
     return 2 if isinstance(step, Delete) and step.revision not in (None, ABSENT) else 1
 
 
 def validate_commit(steps: Sequence[Step]) -> None:
-    """Raise InvalidRequestError for a commit that is empty, too long, or names a key or value that cannot be.
+    """Raise InvalidRequestError for a commit that is empty, too long, or has an invalid key or value.
 
-    Raises ConflictError for a step of a lost lease, whose name is empty. Danger: to the service "held by no
-    session" is a condition like any other, and a record that nobody holds would meet it.
+    Raises ConflictError for a step of a lost lease, whose name is empty. To Consul an empty session is a
+    valid condition, which any unlocked record meets.
     """
     if not steps:
         raise InvalidRequestError("a commit without steps")
--- a/lupinlink/coordination/component.py
+++ b/lupinlink/coordination/component.py
@@ -1,8 +1,7 @@
-"""What each part of the fleet's agreement (release, quota, migration) looks like to the shell that wires it.
+"""The interface between the fleet's components (release, quota, migration) and the process that hosts them.
 
-A part is an agent that carries its pure state over an ``Agreement``; clock, randomness and what it needs of
-its process are handed in. The shell (``lupinlink.net.fleet``) starts and stops it and puts its calls on the
-operators' door.
+A component coordinates over an ``Agreement``; clock, randomness and what it needs of its process are passed
+in. ``lupinlink.net.fleet`` starts and stops the components and adds their endpoints to the management API.
 """
 
 from __future__ import annotations
@@ -18,13 +17,13 @@
 
     name: str  # the same after a restart
     zone: str
-    version: str  # of the program, as an operator names it
+    version: str  # of the program, as operators name it
     pool: str = ""  # the pool of proxies that it belongs to, for migrations
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """An operator's call at the door."""
+    """An operator's request to the management API."""
 
     query: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """What the operator reads: an HTTP status (2xx yes, 4xx or 5xx no) and a text that ends a line."""
+    """The response to an operator: an HTTP status and a text that ends with a newline."""
 
     status: int
     text: str
@@ -40,21 +39,21 @@
 
 AdminHandler = Callable[[AdminRequest], AdminResponse]
 AdminRoutes = Mapping[str, Mapping[str, AdminHandler]]
-"""By path (``/control/release/halt``), then by method (``PUT``). A call answers at once, from what is known
-here; what it asks of the fleet goes on after the answer, and the state call tells how far it is."""
+"""By path (``/control/release/halt``), then by method (``PUT``). A handler responds at once, from what this
+process knows; what it asks of the fleet goes on afterwards, and the state endpoint shows the progress."""
 
 
 class Component(Protocol):
-    """One agent."""
+    """A component of the fleet extension."""
 
     def start(self) -> None:
-        """Begin; called once, with the reactor running."""
+        """Start; called once, with the reactor running."""
         ...
 
     def stop(self) -> None:
-        """End; nothing is called after it. What is held in the service may be left to its lease."""
+        """Stop; nothing is called after it. Locks in the service may be left to expire with the lease."""
         ...
 
     def admin_routes(self) -> AdminRoutes:
-        """What it adds to the operators' door."""
+        """The endpoints that the component adds to the management API."""
         ...
--- a/lupinlink/coordination/consul.py
+++ b/lupinlink/coordination/consul.py
@@ -1,7 +1,8 @@
-"""The agreement service by Consul's published API: one process's way there, by treq on Twisted.
+"""The transport to the agreement service over Consul's HTTP API, with treq on Twisted.
 
-Every call has a time-out; one that ran out before a connection stood did surely nothing, one that ran out
-later may have been done. Reads ask for ``consistent``: no answer may be older than the question.
+Every call has a time-out. One that times out before a connection is established has done nothing; a write
+that times out later may have been applied. Reads use Consul's ``consistent`` mode, so no response is older
+than its request.
 """
 
 from __future__ import annotations
@@ -35,28 +36,28 @@
 T = TypeVar("T")
 _not_sent: Any = web.RequestNotSent  # type: ignore[attr-defined]
 NOT_SENT = (ConnectError, ConnectingCancelledError, DNSLookupError, _not_sent)
-MOST_BODY = 16 * 1024 * 1024  # bytes of an answer: a proxy has some 100 MB to itself
-MOST_OPEN = 16  # connections to the service; each standing question has one
-KEPT_S = 30.0  # so long is a connection kept that nobody uses
-JITTER = 1.0 / 16.0  # of a question's wait, by which the service may draw it out
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of a response: a proxy has about 100 MB of memory in all
+MAX_CONNECTIONS = 16  # to the service; each blocking query occupies one
+IDLE_TIMEOUT_S = 30.0  # for which an idle connection is kept
+CONSUL_WAIT_JITTER = 1.0 / 16.0  # share of a blocking query's wait by which Consul may prolong it
 
 
 @dataclass(frozen=True, slots=True)
 class ConsulSettings:
-    """Where the service is and what it is asked with."""
+    """The address of the service and the parameters of its calls."""
 
     host: str
     port: int
-    prefix: str = ""  # before every key
+    prefix: str = ""  # of every key
     token: str = ""
-    call_ms: float = 2000.0  # time-out of a call, the wait that it may have not counted
+    call_ms: float = 2000.0  # time-out of a call, in addition to a blocking query's wait
     lock_delay_ms: float = 1000.0
-    name: str = "lupinlink"  # of sessions, for who looks into the service
+    name: str = "lupinlink"  # of the sessions, shown to operators of Consul
 
 
 @dataclass(frozen=True, slots=True)
 class ConsulResponse:
-    """What came back."""
+    """A response to a call."""
 
     status: int
     body: bytes
@@ -76,26 +77,26 @@
 
 
 class _Body(Protocol):
-    """An answer's body: bounded, and its connection broken off when nobody waits for it any more."""
+    """Collects a response body of limited size; closes the connection when the body is cancelled."""
 
     def __init__(self) -> None:
-        self.whole: Deferred[bytes] = Deferred(lambda _: self._abort())
-        self._pieces: list[bytes] = []
-        self._left = MOST_BODY
+        self.content: Deferred[bytes] = Deferred(lambda _: self._abort())
+        self._chunks: list[bytes] = []
+        self._remaining = MAX_BODY_BYTES
 
     def dataReceived(self, data: bytes) -> None:
-        self._pieces.append(data)
-        self._left -= len(data)
-        if self._left < 0:
+        self._chunks.append(data)
+        self._remaining -= len(data)
+        if self._remaining < 0:
             self._abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        if self.whole.called:
+        if self.content.called:
             return
-        if isinstance(reason.value, web.ResponseDone) and self._left >= 0:
-            self.whole.callback(b"".join(self._pieces))
+        if isinstance(reason.value, web.ResponseDone) and self._remaining >= 0:
+            self.content.callback(b"".join(self._chunks))
         else:
-            self.whole.errback(reason)
+            self.content.errback(reason)
 
     def _abort(self) -> None:
         if self.transport is not None:
@@ -103,14 +104,14 @@
 
 
 class ConsulTransport:
-    """One process's way to the service: a ``wire.Wire``."""
+    """One process's transport to the service: a ``transport.Transport``."""
 
     def __init__(self, reactor: Any, settings: ConsulSettings) -> None:
         self._reactor, self._settings = reactor, settings
         self._pool: Any = web.HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
-        self._pool.maxPersistentPerHost = MOST_OPEN
-        self._pool.cachedConnectionTimeout = KEPT_S
-        # Danger: repeats of its own would not be counted, nor spread in time.
+        self._pool.maxPersistentPerHost = MAX_CONNECTIONS
+        self._pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
+        # Retries by the pool would be neither counted nor spread in time.
         self._pool.retryAutomatically = False
         agent: Any = web.Agent
         self._http = HTTPClient(
@@ -119,7 +120,7 @@
         self._headers = Headers({"X-Consul-Token": [settings.token]} if settings.token else {})
 
     def stop(self) -> Deferred[None]:
-        """Close the connections that nobody uses."""
+        """Close the idle connections."""
         closed: Deferred[None] = self._pool.closeCachedConnections()
         return closed
 
@@ -127,60 +128,60 @@
         query = {"recurse": "", "consistent": ""}
         if index:
             query |= {"index": str(index), "wait": f"{max(1, round(wait_ms))}ms"}
-        wait_s = wait_ms * (1.0 + JITTER) / 1000.0 if index else 0.0
-        return self._bounded(self._read(prefix, query), wait_s, writes=False)
+        wait_s = wait_ms * (1.0 + CONSUL_WAIT_JITTER) / 1000.0 if index else 0.0
+        return self._with_timeout(self._read(prefix, query), wait_s, writes=False)
 
     async def _read(self, prefix: str, query: dict[str, str]) -> ReadResult:
         root = self._settings.prefix
-        answer = await self._ask("GET", messages.kv_path(root + prefix), query=query)
+        answer = await self._request("GET", messages.kv_path(root + prefix), query=query)
         if answer.status == 404:
             return ReadResult({}, max(1, answer.index))
         if answer.status != 200:
-            raise messages.refusal(answer.status, answer.body, writes=False)
-        return ReadResult(messages.records(root, answer.body), max(1, answer.index))
+            raise messages.error_from_response(answer.status, answer.body, writes=False)
+        return ReadResult(messages.decode_records(root, answer.body), max(1, answer.index))
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
-        return self._bounded(self._commit(steps), 0.0, writes=True)
+        return self._with_timeout(self._commit(steps), 0.0, writes=True)
 
     async def _commit(self, steps: Sequence[Step]) -> dict[str, Record]:
         validate_commit(steps)
         root = self._settings.prefix
-        answer = await self._ask("PUT", "/v1/txn", messages.operations(root, steps))
+        answer = await self._request("PUT", "/v1/txn", messages.encode_transaction(root, steps))
         if answer.status != 200:
-            raise messages.refusal(answer.status, answer.body, writes=True)
-        return messages.written(root, steps, answer.body)
+            raise messages.error_from_response(answer.status, answer.body, writes=True)
+        return messages.decode_written_records(root, steps, answer.body)
 
     def open(self, ttl_ms: float) -> Deferred[str]:
-        return self._bounded(self._open(ttl_ms), 0.0, writes=False)
+        return self._with_timeout(self._open(ttl_ms), 0.0, writes=False)
 
     async def _open(self, ttl_ms: float) -> str:
-        body = messages.session(self._settings.name, ttl_ms, self._settings.lock_delay_ms)
-        return messages.opened(await self._session("create", body))
+        body = messages.encode_session(self._settings.name, ttl_ms, self._settings.lock_delay_ms)
+        return messages.decode_session_id(await self._session("create", body))
 
     def renew(self, lease: str) -> Deferred[float]:
-        return self._bounded(self._renew(lease), 0.0, writes=False)
+        return self._with_timeout(self._renew(lease), 0.0, writes=False)
 
     async def _renew(self, lease: str) -> float:
-        answer = await self._ask("PUT", f"/v1/session/renew/{lease}", b"")
+        answer = await self._request("PUT", f"/v1/session/renew/{lease}", b"")
         if answer.status == 404:
             raise LeaseLostError(f"the service knows no lease {lease}")
         if answer.status != 200:
-            raise messages.refusal(answer.status, answer.body, writes=False)
-        return messages.renewed(answer.body)
+            raise messages.error_from_response(answer.status, answer.body, writes=False)
+        return messages.decode_session_ttl_ms(answer.body)
 
     def close(self, lease: str) -> Deferred[None]:
-        return self._bounded(self._close(lease), 0.0, writes=False)
+        return self._with_timeout(self._close(lease), 0.0, writes=False)
 
     async def _close(self, lease: str) -> None:
         await self._session(f"destroy/{lease}", b"")
 
     async def _session(self, call: str, body: bytes) -> bytes:
-        answer = await self._ask("PUT", f"/v1/session/{call}", body)
+        answer = await self._request("PUT", f"/v1/session/{call}", body)
         if answer.status != 200:
-            raise messages.refusal(answer.status, answer.body, writes=False)
+            raise messages.error_from_response(answer.status, answer.body, writes=False)
         return answer.body
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, data: bytes | None = None, query: dict[str, str] | None = None
     ) -> ConsulResponse:
         response: Any = await self._http.request(
@@ -189,11 +190,11 @@
         )  # fmt: skip
         body = _Body()
         response.deliverBody(body)
-        told = (response.headers.getRawHeaders("X-Consul-Index") or ["0"])[0]
-        whole = await body.whole
-        return ConsulResponse(response.code, whole, int(told) if told.isdecimal() else 0)
+        raw_index = (response.headers.getRawHeaders("X-Consul-Index") or ["0"])[0]
+        content = await body.content
+        return ConsulResponse(response.code, content, int(raw_index) if raw_index.isdecimal() else 0)
 
-    def _bounded(self, call: Coroutine[Any, Any, T], wait_s: float, writes: bool) -> Deferred[T]:
+    def _with_timeout(self, call: Coroutine[Any, Any, T], wait_s: float, writes: bool) -> Deferred[T]:
         def failed(failure: Failure) -> T:
             error = failure.value
             if isinstance(error, CoordinationError):
--- a/lupinlink/coordination/consul_messages.py
+++ b/lupinlink/coordination/consul_messages.py
@@ -1,7 +1,8 @@
-"""Consul's published HTTP API as bytes: what is sent, and what an answer means. Pure.
+"""Encodes requests to Consul's HTTP API and decodes its responses. Performs no I/O.
 
-KV store, transactions, sessions and blocking queries as the pages of its HTTP API give them. Statuses that
-surely changed nothing are told apart from those after which a write may have happened.
+Covers the KV store, transactions, sessions and blocking queries as Consul's API documentation describes them.
+Statuses after which certainly nothing was written are told apart from those after which a write may have been
+applied.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
     UnreachableError,
 )
 
-# Texts of a 500 that is answered before anything was proposed; after any other one a write may have happened.
-NOTHING_DONE = ("No cluster leader", "No known Consul servers", "not the leader")
+# Texts of a 500 that Consul sends before it proposes a write; after any other 500 the write may be applied.
+NOTHING_WRITTEN = ("No cluster leader", "No known Consul servers", "not the leader")
 
 
 class Entry(msgspec.Struct, rename="pascal"):
-    """One record as Consul gives it."""
+    """One record in a response."""
 
     key: str
     modify_index: int
@@ -56,57 +57,57 @@
     session: str = ""
 
 
-class Wrapped(msgspec.Struct):
-    """The same with its kind."""
+class TransactionOperation(msgspec.Struct):
+    """One operation of a transaction, wrapped with its kind."""
 
     kv: Operation = msgspec.field(name="KV")
 
 
-class Result(msgspec.Struct):
+class TransactionResult(msgspec.Struct):
     """One result of a transaction."""
 
     kv: Entry | None = msgspec.field(name="KV", default=None)
 
 
-class Fault(msgspec.Struct, rename="pascal"):
-    """Why one operation failed."""
+class TransactionError(msgspec.Struct, rename="pascal"):
+    """Why an operation of a transaction failed."""
 
     op_index: int = 0
     what: str = ""
 
 
-class Outcome(msgspec.Struct, rename="pascal"):
-    """A transaction's answer."""
+class TransactionResponse(msgspec.Struct, rename="pascal"):
+    """The response to a transaction."""
 
-    results: list[Result] | None = None
-    errors: list[Fault] | None = None
+    results: list[TransactionResult] | None = None
+    errors: list[TransactionError] | None = None
 
 
-class Opened(msgspec.Struct):
-    """A new session."""
+class CreatedSession(msgspec.Struct):
+    """The response to a created session."""
 
     id: str = msgspec.field(name="ID")
 
 
-class Renewed(msgspec.Struct, rename="pascal"):
-    """A session that was renewed; the service may ask for fewer renewals by a longer time."""
+class RenewedSession(msgspec.Struct, rename="pascal"):
+    """A renewed session; the service may ask for fewer renewals by a longer time to live."""
 
     ttl: str = msgspec.field(name="TTL", default="")
 
 
 _entries: msgspec.json.Decoder[list[Entry] | None] = msgspec.json.Decoder(list[Entry] | None)
-_outcome: msgspec.json.Decoder[Outcome] = msgspec.json.Decoder(Outcome)
-_opened: msgspec.json.Decoder[Opened] = msgspec.json.Decoder(Opened)
-_renewed: msgspec.json.Decoder[list[Renewed]] = msgspec.json.Decoder(list[Renewed])
+_transaction: msgspec.json.Decoder[TransactionResponse] = msgspec.json.Decoder(TransactionResponse)
+_created_session: msgspec.json.Decoder[CreatedSession] = msgspec.json.Decoder(CreatedSession)
+_renewed_sessions: msgspec.json.Decoder[list[RenewedSession]] = msgspec.json.Decoder(list[RenewedSession])
 
 
 def kv_path(key: str) -> str:
-    """The path of the records below a key."""
+    """The URL path of the records below a key."""
     return "/v1/kv/" + quote(key)
 
 
-def operations(root: str, steps: Sequence[Step]) -> bytes:
-    """A transaction's body; ``root`` goes before each key."""
+def encode_transaction(root: str, steps: Sequence[Step]) -> bytes:
+    """The body of a transaction; ``root`` is the prefix of each key."""
     sent: list[Operation] = []
     for step in steps:
         key = root + step.key
@@ -118,7 +119,7 @@
             case Delete(_, None):
                 sent.append(Operation("delete", key))
             case Delete(_, revision):
-                # Danger: delete-cas says yes to a record that has long gone.
+                # Not delete-cas, which also succeeds for a record that does not exist any more.
                 sent.append(_check(key, revision or ABSENT))
                 if revision:
                     sent.append(Operation("delete", key))
@@ -130,7 +131,7 @@
                 sent.append(Operation("lock", key, value, session=lease))
             case Unlock(_, value, lease):
                 sent.append(Operation("unlock", key, value, session=lease))
-    return msgspec.json.encode([Wrapped(operation) for operation in sent])
+    return msgspec.json.encode([TransactionOperation(operation) for operation in sent])
 
 
 def _check(key: str, revision: int) -> Operation:
@@ -139,8 +140,8 @@
     return Operation("check-index", key, index=revision)
 
 
-def session(name: str, ttl_ms: float, lock_delay_ms: float) -> bytes:
-    """A new session's body. No health check ends it: its time alone is what the contract promises."""
+def encode_session(name: str, ttl_ms: float, lock_delay_ms: float) -> bytes:
+    """The body that creates a session. No health checks: only its time to live may end a lease."""
     return msgspec.json.encode(
         {
             "Name": name,
@@ -152,8 +153,8 @@
     )
 
 
-def records(root: str, body: bytes) -> dict[str, Record]:
-    """A listing's records by key. Raises msgspec.DecodeError."""
+def decode_records(root: str, body: bytes) -> dict[str, Record]:
+    """Decode a list of records, by key. Raises msgspec.DecodeError."""
     found = {}
     for entry in _entries.decode(body) or ():
         key = entry.key.removeprefix(root)
@@ -161,30 +162,30 @@
     return found
 
 
-def written(root: str, steps: Sequence[Step], body: bytes) -> dict[str, Record]:
-    """The records that a transaction wrote; the answer holds no values. Raises msgspec.DecodeError."""
+def decode_written_records(root: str, steps: Sequence[Step], body: bytes) -> dict[str, Record]:
+    """The records that a transaction wrote; the response has no values. Raises msgspec.DecodeError."""
     values: dict[str, bytes] = {}
     for step in steps:
         if isinstance(step, Put | Lock | Unlock):
             values[step.key] = step.value
         elif isinstance(step, Delete):
             values.pop(step.key, None)
-    out = {}
-    for result in _outcome.decode(body).results or ():
+    found = {}
+    for result in _transaction.decode(body).results or ():
         if (entry := result.kv) is not None and (key := entry.key.removeprefix(root)) in values:
-            out[key] = Record(key, values[key], entry.modify_index, entry.session, entry.lock_index)
-    return out
+            found[key] = Record(key, values[key], entry.modify_index, entry.session, entry.lock_index)
+    return found
 
 
-def opened(body: bytes) -> str:
-    """The new session's name. Raises msgspec.DecodeError."""
-    return _opened.decode(body).id
+def decode_session_id(body: bytes) -> str:
+    """The new session's identifier. Raises msgspec.DecodeError."""
+    return _created_session.decode(body).id
 
 
-def renewed(body: bytes) -> float:
-    """The time of a session that was renewed, ms; 0 if it cannot be read. Raises msgspec.DecodeError."""
-    told = _renewed.decode(body)
-    text = told[0].ttl if told else ""
+def decode_session_ttl_ms(body: bytes) -> float:
+    """The time to live of a renewed session, ms; 0 if it is in another unit. Raises msgspec.DecodeError."""
+    sessions = _renewed_sessions.decode(body)
+    text = sessions[0].ttl if sessions else ""
     if text.endswith("ms"):
         text, unit = text[:-2], 1.0
     else:
@@ -192,24 +193,24 @@
     try:
         return float(text) * unit
     except ValueError:
-        return 0.0  # a time in minutes and seconds: the one that was asked for is kept
+        return 0.0  # in minutes and seconds: the caller keeps the requested time to live
 
 
-def refusal(status: int, body: bytes, writes: bool) -> CoordinationError:
-    """What an answer that is no 200 means."""
+def error_from_response(status: int, body: bytes, writes: bool) -> CoordinationError:
+    """The error for a response whose status is not 200; ``writes``: to a call that may write."""
     text = body[:300].decode(errors="replace")
     if status == 409:
         try:
-            faults = _outcome.decode(body).errors or ()
+            errors = _transaction.decode(body).errors or ()
         except msgspec.DecodeError:
-            faults = ()
-        return ConflictError("; ".join(fault.what for fault in faults) or "409")
+            errors = ()
+        return ConflictError("; ".join(error.what for error in errors) or "409")
     if status in (429, 503):
         return BusyError(f"{status} {text}")
     if status in (401, 403):
         return DeniedError(f"{status} {text}")
     if 400 <= status < 500:
         return InvalidRequestError(f"{status} {text}")
-    if not writes or any(known in text for known in NOTHING_DONE):
+    if not writes or any(known in text for known in NOTHING_WRITTEN):
         return UnreachableError(f"{status} {text}")
     return UncertainError(f"{status} {text}")
--- a/lupinlink/coordination/contract.py
+++ b/lupinlink/coordination/contract.py
@@ -1,15 +1,16 @@
-"""The contract of agreement between processes; one form speaks Consul's published API, one is in memory.
-
-Everything that processes must agree on is a record. A record changes by a commit: up to ``MOST_STEPS``
-steps that all happen or none. Compare-and-set by revision is the only arbiter; a lease only tells when its
-holder may be taken for gone. Two processes may both believe that they hold a lease (one stood still, then
-went on): what stops the older is its **fence**, a number that rises with each taking of the lease's record
-and is checked by every commit that acts under it (``Guarded``), and by every process that is told something
-under it (it obeys no fence under the highest seen).
-
-Times are milliseconds of the caller's monotonic clock (``lupinlink.clock.Clock``); no wall clock decides
-anything. All calls are asynchronous and fire once; their errors are those of
-``lupinlink.coordination.errors``.
+"""The interface of the agreement service, through which the processes of a fleet coordinate.
+
+Two transports implement it: ``consul`` uses Consul's HTTP API, ``memory`` keeps the state in this process.
+
+All shared state is held in records. A commit changes records: up to ``MAX_STEPS`` steps, applied atomically.
+Only compare-and-set by revision decides between two writers; a lease only tells when its holder may be
+considered gone. Two processes may both believe that they hold a lease, for example after one was suspended
+and resumed. The older one is stopped by its **fence** (a fencing token), a number that rises each time the
+record is locked. Every commit made under a fence checks it (``CheckRevision``), and every process rejects
+instructions whose fence is lower than the highest it has seen.
+
+Times are milliseconds of the caller's monotonic clock (``lupinlink.clock.Clock``); nothing depends on wall
+clock time. All calls are asynchronous; their errors are in ``lupinlink.coordination.errors``.
 """
 
 from __future__ import annotations
@@ -22,25 +23,25 @@
 
 from lupinlink.errors import LupinError
 
-MAX_STEPS = 64  # of one commit: the published bound of Consul's transactions
-MAX_VALUE_BYTES = 512 * 1024  # bytes of one record: the published bound of Consul's values
-ABSENT = 0  # as a revision: no such record
+MAX_STEPS = 64  # in one commit: the documented limit of Consul's transactions
+MAX_VALUE_BYTES = 512 * 1024  # of one record: the documented limit of Consul's values
+ABSENT = 0  # as a revision: the record does not exist
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record as it stood at a revision."""
+    """One record at one revision."""
 
     key: str
     value: bytes
-    revision: int  # of its last change (a write of what stands there is none); rises in one history
-    lease: str = ""  # the lease that holds it, or empty
-    lock_count: int = 0  # how often it was taken by a lease since it was created
+    revision: int  # of its last change, rising until a restore; rewriting the same content is no change
+    lease: str = ""  # name of the lease that holds the record, or empty
+    lock_count: int = 0  # how often a lease has locked it since it was created
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write a record. ``revision``: only if it stands there (``ABSENT``: is not there yet); None: always."""
+    """Write a record if it is at ``revision`` (``ABSENT``: does not exist yet); None: unconditionally."""
 
     key: str
     value: bytes
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Remove a record, if it stands at ``revision`` (which counts for two steps); None: in any case."""
+    """Remove a record if it is at ``revision`` (which counts as two steps); None: unconditionally."""
 
     key: str
     revision: int | None
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckRevision:
-    """Writes nothing; fails the commit unless the record stands at ``revision`` (``ABSENT``: is absent)."""
+    """Write nothing; fail the commit unless the record is at ``revision`` (``ABSENT``: does not exist)."""
 
     key: str
     revision: int
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lock:
-    """Write a record and hold it by a lease; fails while another lease holds it, or the lease has ended."""
+    """Write a record and lock it for a lease; fails if another lease holds it or this lease has ended."""
 
     key: str
     value: bytes
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHolder:
-    """Nothing is written; the commit fails unless that lease holds the record."""
+    """Write nothing; fail the commit unless the lease holds the record."""
 
     key: str
     lease: str
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unlock:
-    """Write a record and hold it no longer; fails unless that lease holds it."""
+    """Write a record and release its lock; fails unless the lease holds it."""
 
     key: str
     value: bytes
@@ -94,69 +95,71 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """All records below a prefix at one moment, and how far that moment is known to be the newest."""
+    """A snapshot of all records below a prefix."""
 
     prefix: str
     records: dict[str, Record] = field(default_factory=dict)  # by key
-    index: int = 0  # of the service's history; one lower than before means that it was restored
-    asked_ms: float = 0.0  # the caller's clock before the question left: at least as new as this
+    index: int = 0  # of the service's state; lower than in the previous view only after a restore
+    asked_ms: float = 0.0  # the caller's clock when the query was sent: the view is at least as new
 
 
 class Lease(Protocol):
-    """A lease of this process, counted by its own monotonic clock from before each renewal was asked for."""
+    """A lease of this process. Its validity counts from when the last successful renewal was sent."""
 
-    name: str  # of the lease in the service; empty once lost
+    name: str  # the lease's identifier in the service; empty once lost
 
     def holds(self) -> bool:
-        """Whether this process may still believe in it. Danger: only a commit with ``Held`` knows."""
+        """Whether the lease is valid by the local clock; only a commit with ``CheckHolder`` is proof."""
         ...
 
     def until_ms(self) -> float:
-        """When the belief ends without a further renewal."""
+        """When the lease stops being valid without a further renewal."""
         ...
 
     def end(self) -> Deferred[None]:
-        """Give it up; what it holds is let go. Never fails."""
+        """End the lease, which unlocks the records that it holds. Never fails."""
         ...
 
 
 class Watch(Protocol):
-    """A standing question."""
+    """A subscription to the records below a prefix."""
 
     def stop(self) -> None:
-        """Hear no more."""
+        """End the subscription."""
         ...
 
 
 class Agreement(Protocol):
-    """The service, as one process sees it."""
+    """One process's client of the agreement service."""
 
     def read(self, prefix: str) -> Deferred[View]:
-        """The newest state of all records below ``prefix``. Fails: UnreachableError, BusyError."""
+        """Return the current state of all records below ``prefix``. Fails: UnreachableError, BusyError."""
         ...
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
-        """All steps or none, each seeing those before it; gives the records written, by key.
+        """Apply the steps atomically, each seeing those before it; return the written records by key.
 
-        Fails: ConflictError (a step did not fit), UnreachableError or BusyError: nothing happened;
-        UncertainError: it may have happened, read the records to find out; InvalidRequestError: the commit is
-        malformed, nothing happened.
+        Fails with ConflictError (a condition did not hold), UnreachableError, BusyError or
+        InvalidRequestError (the commit is malformed) when nothing was written, and with UncertainError when
+        it may have been written; reading the records then tells.
         """
         ...
 
-    def lease(self, ttl_ms: float, lost: Callable[[LupinError], object]) -> Deferred[Lease]:
-        """A new lease, renewed until it is ended. ``lost`` is called once, when it can no longer be believed.
+    def lease(self, ttl_ms: float, on_lost: Callable[[LupinError], object]) -> Deferred[Lease]:
+        """Create a lease and renew it until it is ended. ``on_lost`` is called once, when it is lost.
 
-        The service ends it no sooner than ``ttl_ms`` after the last renewal, perhaps as late as twice that;
-        a record that it held cannot be taken by another for the service's lock-delay after that.
+        The service ends the lease between one and two times ``ttl_ms`` after the last renewal. For the
+        lock-delay after that, no other lease can lock the records that it held.
         """
         ...
 
-    def watch(self, prefix: str, seen: Callable[[View], None], silent: Callable[[LupinError], None]) -> Watch:
-        """Tell ``seen`` of each newer state below ``prefix``, the present one first; ``silent`` of failures.
+    def watch(
+        self, prefix: str, on_view: Callable[[View], None], on_error: Callable[[LupinError], None]
+    ) -> Watch:
+        """Call ``on_view`` with the state below ``prefix`` and each later one, ``on_error`` on errors.
 
-        An answer that nothing has changed is told too: its ``asked_ms`` is newer. Changes that come fast are
-        told together. Asks again by itself, with decorrelated back-off. After a restore ``seen`` gets a View
-        of lower index.
+        ``on_view`` is also called when nothing has changed, with a newer ``asked_ms``. Changes in quick
+        succession may be delivered together. Failed queries are retried with decorrelated backoff. After a
+        restore of the service the view has a lower index than the one before.
         """
         ...
--- a/lupinlink/coordination/errors.py
+++ b/lupinlink/coordination/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between a process and the service through which the fleet agrees."""
+"""Errors of the calls to the agreement service."""
 
 from __future__ import annotations
 
@@ -9,69 +9,69 @@
     """Base of this package's errors."""
 
     code = "LL100"
-    about = "the fleet's agreement cannot be used as it was asked for"
+    about = "a call to the agreement service failed"
     remedy = "see docs/operators/coordination.md"
 
 
 class UnreachableError(CoordinationError):
-    """The call surely did nothing."""
+    """The call has had no effect."""
 
     code = "LL101"
     about = "the agreement service does not answer, or has no leader"
-    remedy = "look whether the service runs and is reached; proxies serve on, what needs agreement waits"
+    remedy = "check that the service runs and is reachable; proxies keep serving, coordinated actions wait"
 
 
 class BusyError(CoordinationError):
-    """The call surely did nothing; ask again later."""
+    """The call has had no effect; it can be retried later."""
 
     code = "LL102"
-    about = "the agreement service turns calls away because it has too many (429)"
-    remedy = "nothing at once: calls are spread and repeated; look at the service's rate limits if it lasts"
+    about = "the agreement service rejects calls because it receives too many (429)"
+    remedy = "nothing at first: calls are spread and retried; if it persists, check the service's rate limits"
 
 
 class ConflictError(CoordinationError):
-    """Nothing was written: somebody else was first, or a condition did not hold."""
+    """Nothing was written, since another writer was first or a condition of the commit did not hold."""
 
     code = "LL103"
-    about = "a commit did not fit the records as they stand"
-    remedy = "nothing: it is decided anew on what stands there now"
+    about = "a condition of a commit did not hold for the current records"
+    remedy = "nothing: the process decides again from the current records"
 
 
 class UncertainError(CoordinationError):
-    """The answer to a write was lost; it may have happened."""
+    """The response to a write was lost; the write may have been applied."""
 
     code = "LL104"
-    about = "the answer to a write was lost, it may have happened or not"
-    remedy = "nothing: the records are read and the question settles itself"
+    about = "the response to a write was lost; it may or may not have been applied"
+    remedy = "nothing: the process reads the records to find out"
 
 
 class LeaseLostError(CoordinationError):
     """The lease has ended, or could not be renewed in time."""
 
     code = "LL105"
-    about = "this process's lease has ended, another may act in its place"
-    remedy = "nothing if another took over; else look for a process that stands still or a cut to the service"
+    about = "this process's lease has ended; another process may act in its place"
+    remedy = "nothing if another took over; else check for a suspended process or a lost network path"
 
 
 class InvalidRequestError(CoordinationError):
-    """The program asked for more than the service takes."""
+    """The service does not accept the request, for example because it is too large."""
 
     code = "LL106"
-    about = "a commit has too many steps, or a record is too large"
-    remedy = "keep the log and report it; nothing was written"
+    about = "a request is invalid: too many steps, a too large record or an invalid key"
+    remedy = "nothing was written; keep the log and report the defect"
 
 
 class RestoredError(CoordinationError):
-    """The service's history went back."""
+    """The service returned to an older state."""
 
     code = "LL107"
     about = "the agreement service was restored to an older state"
-    remedy = "check halts and releases asked for after that state was saved, and ask for them again"
+    remedy = "repeat the halts and releases that were requested after that state was saved"
 
 
 class DeniedError(UnreachableError):
-    """The call surely did nothing, and will not until somebody changes the token or its rights."""
+    """The call has had no effect, and will not until an operator changes the token or its rights."""
 
     code = "LL108"
-    about = "the agreement service does not let this process in"
-    remedy = "set the token in the fleet file, and its rights: key and session write below the prefix"
+    about = "the agreement service denies this process access"
+    remedy = "set the token in the fleet file; it needs write access to sessions and to keys below the prefix"
--- a/lupinlink/coordination/kv_store.py
+++ b/lupinlink/coordination/kv_store.py
@@ -1,9 +1,9 @@
-"""The agreement service's own state, as the published pages of Consul's KV and sessions define it. Pure.
+"""An in-memory model of Consul's KV store and sessions, after Consul's documentation.
 
-Time is handed in (ms, one monotonic clock). What it promises and what it does not is that of the pages: a
-lease ends no sooner than its time after the last renewal and perhaps as late as ``late`` times that (2 at
-most); records that an ended lease held are let go, kept, and cannot be taken for the lock-delay; a record's
-``taken`` starts anew when it was deleted; a write that changes nothing leaves the revision alone.
+Performs no I/O; the caller passes the current time (ms, one monotonic clock). The guarantees are Consul's: a
+lease ends between one and ``late`` times (2 at most) its time to live after the last renewal; records that an
+ended lease held are unlocked but kept, and cannot be locked during the lock-delay; a record's ``lock_count``
+starts again after it was deleted; a write that changes nothing keeps the revision.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseState:
-    """A lease in the service."""
+    """The state of one lease."""
 
     ttl_ms: float
     ends_ms: float
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """A state to go back to."""
+    """A saved state, for ``KvStore.restore``."""
 
     index: int
     records: dict[str, Record] = field(default_factory=dict)
@@ -44,27 +44,27 @@
 
 
 class KvStore:
-    """Records and leases; each call may come at any time, times must not fall."""
+    """Records and leases. The times passed in must not decrease."""
 
     def __init__(self, lock_delay_ms: float = 1000.0, late: float = 1.0) -> None:
-        """``late``: in [1, 2], how many times its time a lease lives without renewal."""
+        """``late``: in [1, 2]; without renewal a lease ends after this many times its time to live."""
         self.index = 1
         self.records: dict[str, Record] = {}
         self.grants: dict[str, LeaseState] = {}
         self._lock_delay_ms, self._late = lock_delay_ms, late
-        self._delayed: dict[str, float] = {}  # until when a record cannot be taken
-        self._gone: dict[str, int] = {}  # the revision at which a record was deleted
-        self._opened = 0
+        self._lock_delays: dict[str, float] = {}  # by key: until when the record cannot be locked
+        self._deleted: dict[str, int] = {}  # by key: the revision at which the record was deleted
+        self._lease_count = 0
 
     def open(self, ttl_ms: float, now: float) -> str:
-        """A new lease; its name is never used again, not even after a restore."""
-        self._opened += 1
-        name = f"lease-{self._opened}"
+        """Create a lease and return its name, which is never used again, not even after a restore."""
+        self._lease_count += 1
+        name = f"lease-{self._lease_count}"
         self.grants[name] = LeaseState(ttl_ms, now + ttl_ms * self._late)
         return name
 
     def renew(self, name: str, now: float) -> float:
-        """Renew a lease; gives its time. Raises LeaseLostError when there is none."""
+        """Renew a lease; returns its time to live. Raises LeaseLostError if there is no such lease."""
         self.expire(now)
         grant = self.grants.get(name)
         if grant is None:
@@ -73,7 +73,7 @@
         return grant.ttl_ms
 
     def end(self, name: str, now: float) -> None:
-        """End a lease, wanted or not; the lock-delay holds in either case."""
+        """End a lease; the lock-delay applies whether it was released or has expired."""
         if self.grants.pop(name, None) is None:
             return
         held = [record for record in self.records.values() if record.lease == name]
@@ -81,26 +81,26 @@
             self.index += 1
         for record in held:
             self.records[record.key] = replace(record, lease="", revision=self.index)
-            self._delayed[record.key] = now + self._lock_delay_ms
+            self._lock_delays[record.key] = now + self._lock_delay_ms
 
     def expire(self, now: float) -> None:
-        """End what was not renewed in time."""
+        """End the leases that were not renewed in time."""
         for name in [name for name, grant in self.grants.items() if grant.ends_ms <= now]:
             self.end(name, now)
 
     def next_end(self) -> float | None:
-        """When the next lease ends without renewal."""
+        """When the next lease ends unless it is renewed."""
         return min((grant.ends_ms for grant in self.grants.values()), default=None)
 
     def read(self, prefix: str, now: float) -> tuple[dict[str, Record], int]:
-        """The records below a prefix by key, and the index of their newest change."""
+        """Return the records below a prefix by key, and the index of their latest change."""
         self.expire(now)
         found = {key: record for key, record in self.records.items() if key.startswith(prefix)}
-        gone = [revision for key, revision in self._gone.items() if key.startswith(prefix)]
-        return found, max([record.revision for record in found.values()] + gone, default=1)
+        deleted = [revision for key, revision in self._deleted.items() if key.startswith(prefix)]
+        return found, max([record.revision for record in found.values()] + deleted, default=1)
 
     def commit(self, steps: Sequence[Step], now: float) -> dict[str, Record]:
-        """All steps or none, each seeing those before it. Raises ConflictError, InvalidRequestError."""
+        """Apply the steps atomically and in order. Raises ConflictError, InvalidRequestError."""
         validate_commit(steps)
         self.expire(now)
         changed: dict[str, Record | None] = {}
@@ -119,9 +119,9 @@
         for key, record in changed.items():
             if record is None:
                 self.records.pop(key, None)
-                self._gone[key] = self.index
+                self._deleted[key] = self.index
             else:
-                self._gone.pop(key, None)
+                self._deleted.pop(key, None)
                 self.records[key] = record
         return written
 
@@ -130,49 +130,53 @@
         holder = before.lease if before else ""
         match step:
             case CheckRevision(key, wanted):
-                self._need(revision == wanted, f"{key} stands at {revision}, not {wanted}")
+                self._require(revision == wanted, f"{key} stands at {revision}, not {wanted}")
                 return before
             case CheckHolder(key, lease):
-                self._need(holder == lease != "", f"{key} is not held by {lease}")
+                self._require(holder == lease != "", f"{key} is not held by {lease}")
                 return before
             case Delete(key, wanted):
-                self._need(wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}")
+                self._require(
+                    wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}"
+                )
                 return None
             case Put(key, value, wanted):
-                self._need(wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}")
+                self._require(
+                    wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}"
+                )
                 return self._written(key, value, before, holder)
             case Lock(key, value, lease):
-                self._need(lease in self.grants, f"there is no lease {lease}")
-                self._need(holder in ("", lease), f"{key} is held by another")
-                self._need(holder == lease or self._delayed.get(key, now) <= now, f"{key}: lock-delay")
+                self._require(lease in self.grants, f"there is no lease {lease}")
+                self._require(holder in ("", lease), f"{key} is held by another")
+                self._require(holder == lease or self._lock_delays.get(key, now) <= now, f"{key}: lock-delay")
                 return self._written(key, value, before, lease)
             case Unlock(key, value, lease):
-                self._need(holder == lease != "", f"{key} is not held by {lease}")
+                self._require(holder == lease != "", f"{key} is not held by {lease}")
                 return self._written(key, value, before, "")
 
     def _written(self, key: str, value: bytes, before: Record | None, lease: str) -> Record:
         if before is None:
             return Record(key, value, self.index + 1, lease, 1 if lease else 0)
         if before.value == value and before.lease == lease:
-            return before  # it changes nothing, so the revision stays
+            return before  # nothing changes, so the revision stays
         taken = before.lock_count + (lease not in ("", before.lease))
         return Record(key, value, self.index + 1, lease, taken)
 
     @staticmethod
-    def _need(holds: bool, what: str) -> None:
+    def _require(holds: bool, what: str) -> None:
         if not holds:
             raise ConflictError(what)
 
     def save(self) -> StoreSnapshot:
-        """This state, to go back to."""
+        """Save the current state."""
         return StoreSnapshot(self.index, dict(self.records), dict(self.grants))
 
     def restore(self, saved: StoreSnapshot, now: float) -> None:
-        """Go back: records, leases (their time starts anew) and the index, which then names other changes."""
+        """Restore records, leases (as if just renewed) and the index, which then counts on from there."""
         self.index, self.records = saved.index, dict(saved.records)
         self.grants = {
             name: replace(grant, ends_ms=now + grant.ttl_ms * self._late)
             for name, grant in saved.grants.items()
         }
-        self._gone.clear()
-        self._delayed.clear()
+        self._deleted.clear()
+        self._lock_delays.clear()
--- a/lupinlink/coordination/lease_renewal.py
+++ b/lupinlink/coordination/lease_renewal.py
@@ -1,8 +1,9 @@
-"""A lease as its holder sees it: renewed in time, and not believed longer than the service grants it.
+"""Renews a lease in time, and stops relying on it before the service can end it.
 
 Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency",
-SOSP 1989: the holder counts from before it asked, the grantor from after it was asked, so the holder's belief
-ends first as long as the two clocks run at the same rate; ``DRIFT`` is what the rates may differ by.
+SOSP 1989: the holder counts from before it sent the request, the service from after it received it, so the
+lease expires first at the holder as long as both clocks run at the same rate. ``MAX_CLOCK_DRIFT`` is the
+difference of rates that is allowed for.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from lupinlink.coordination.transport import Transport
 from lupinlink.errors import LupinError
 
-DRIFT = 0.02  # of a lease's time that is not believed in
-RENEW = 1.0 / 3.0  # of its time after which a lease is renewed: two failures in a row do not end it
-SPREAD = 0.2  # of that, drawn: processes that started together drift apart
-FIRST_AGAIN_MS = 250.0  # the shortest wait after a renewal that failed
+MAX_CLOCK_DRIFT = 0.02  # share of a lease's time by which it expires earlier at the holder
+RENEW_AFTER = 1.0 / 3.0  # share of a lease's time: two failed renewals in a row do not end it
+RENEW_JITTER = 0.2  # random share of that: processes that started together drift apart
+FIRST_RETRY_MS = 250.0  # shortest wait after a failed renewal
 
 
 class RenewedLease:
-    """A ``contract.Lease``; made when the service has granted it."""
+    """A ``contract.Lease`` that the service has granted."""
 
     def __init__(
         self,
@@ -35,67 +36,67 @@
         name: str,
         ttl_ms: float,
         asked_ms: float,
-        lost: Callable[[LupinError], object],
+        on_lost: Callable[[LupinError], object],
     ) -> None:
-        """``asked_ms``: the clock before the lease was asked for."""
+        """``asked_ms``: the time before the lease was requested. ``draw``: random, from [0, 1)."""
         self.name = name
-        self._transport, self._clock, self._draw, self._lost = transport, clock, draw, lost
-        self._ttl = self._every = ttl_ms
-        self._backoff = Backoff(FIRST_AGAIN_MS, ttl_ms * RENEW, draw)
-        self._until = asked_ms + ttl_ms * (1.0 - DRIFT)
-        self._end_call = clock.at(self._until, self._look)
-        self._renew_call = clock.at(self._next(asked_ms), self._renew)
+        self._transport, self._clock, self._draw, self._on_lost = transport, clock, draw, on_lost
+        self._ttl_ms = self._renewal_ttl_ms = ttl_ms
+        self._backoff = Backoff(FIRST_RETRY_MS, ttl_ms * RENEW_AFTER, draw)
+        self._valid_until_ms = asked_ms + ttl_ms * (1.0 - MAX_CLOCK_DRIFT)
+        self._expiry_call = clock.at(self._valid_until_ms, self._check_expiry)
+        self._renew_call = clock.at(self._next_renewal_ms(asked_ms), self._renew)
 
     def holds(self) -> bool:
-        # Danger: after a SIGSTOP this is asked before any timer has run; only the clock tells.
-        return bool(self.name) and self._clock.now() < self._until
+        # Compares the clock, because after a SIGSTOP this may be called before the expiry timer has run.
+        return bool(self.name) and self._clock.now() < self._valid_until_ms
 
     def until_ms(self) -> float:
-        return self._until
+        return self._valid_until_ms
 
     def end(self) -> Deferred[None]:
         if not self.name:
             return succeed(None)
-        return self._close().addErrback(lambda failure: None)  # it ends by itself
+        return self._close().addErrback(lambda failure: None)  # the service ends the lease when it expires
 
-    def _next(self, asked_ms: float) -> float:
-        return asked_ms + self._every * RENEW * (1.0 - SPREAD * self._draw())
+    def _next_renewal_ms(self, asked_ms: float) -> float:
+        return asked_ms + self._renewal_ttl_ms * RENEW_AFTER * (1.0 - RENEW_JITTER * self._draw())
 
     def _close(self) -> Deferred[None]:
         name, self.name = self.name, ""
-        self._clock.drop(self._end_call)
+        self._clock.drop(self._expiry_call)
         self._clock.drop(self._renew_call)
         return self._transport.close(name)
 
-    def _lose(self, why: str) -> None:
+    def _on_lease_lost(self, why: str) -> None:
         error = LeaseLostError(why)
-        # Of use when only this process stood still: nobody need wait until the service ends it.
+        # If only this process was suspended, others then need not wait until the service ends the lease.
         self._close().addErrback(lambda failure: None)
-        self._lost(error)
+        self._on_lost(error)
 
-    def _look(self) -> None:
-        # After a SIGSTOP the answer to a renewal may have been read first.
-        if self.name and self._clock.now() >= self._until:
-            self._lose("the lease was not renewed in time")
+    def _check_expiry(self) -> None:
+        # After a SIGSTOP the response to a renewal may be read before this timer runs.
+        if self.name and self._clock.now() >= self._valid_until_ms:
+            self._on_lease_lost("the lease was not renewed in time")
 
     def _renew(self) -> None:
         asked_ms = self._clock.now()
         self._transport.renew(self.name).addCallbacks(self._renewed, self._failed, callbackArgs=(asked_ms,))
 
-    def _renewed(self, every_ms: float, asked_ms: float) -> None:
+    def _renewed(self, granted_ttl_ms: float, asked_ms: float) -> None:
         if not self.name:
             return
         self._backoff.reset()
-        self._every = max(self._ttl, every_ms)
-        self._until = asked_ms + self._ttl * (1.0 - DRIFT)
-        self._clock.drop(self._end_call)
-        self._end_call = self._clock.at(self._until, self._look)
-        self._renew_call = self._clock.at(self._next(asked_ms), self._renew)
+        self._renewal_ttl_ms = max(self._ttl_ms, granted_ttl_ms)
+        self._valid_until_ms = asked_ms + self._ttl_ms * (1.0 - MAX_CLOCK_DRIFT)
+        self._clock.drop(self._expiry_call)
+        self._expiry_call = self._clock.at(self._valid_until_ms, self._check_expiry)
+        self._renew_call = self._clock.at(self._next_renewal_ms(asked_ms), self._renew)
 
     def _failed(self, failure: Failure) -> None:
         if not self.name:
             return
         if isinstance(failure.value, LeaseLostError):
-            self._lose(str(failure.value))
+            self._on_lease_lost(str(failure.value))
             return
         self._renew_call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._renew)
--- a/lupinlink/coordination/memory.py
+++ b/lupinlink/coordination/memory.py
@@ -1,8 +1,7 @@
-"""The agreement service in memory: for tests of several processes, and for a fleet of one.
+"""The agreement service in memory: for tests with several processes, and for a fleet of one process.
 
-One ``MemoryService`` stands for the service; each process has a wire of its own to it, with switches for what
-may go wrong on the way. Nothing is answered within the call that asked: as over a network, what was asked
-arrives after ``delay_ms`` and the answer after as long again.
+One ``MemoryService`` is the service; each process has its own transport to it, with switches that simulate
+faults. As over a network, a request arrives after ``delay_ms``, and the response takes as long again.
 """
 
 from __future__ import annotations
@@ -29,53 +28,53 @@
     def __init__(
         self, clock: Clock, lock_delay_ms: float = 1000.0, late: float = 1.0, delay_ms: float = 1.0
     ) -> None:
-        """``late``: as in ``Ledger``; ``delay_ms``: of each way, one of a call's two."""
+        """``late``: as in ``KvStore``; ``delay_ms``: the network delay in each direction."""
         self.clock, self.delay_ms = clock, delay_ms
         self.store = KvStore(lock_delay_ms, late)
-        self.reachable = True  # for all
-        self.calls = 0  # that arrived, of all processes
+        self.reachable = True  # by any process
+        self.calls = 0  # that arrived, from all processes
         self._waiting: list[Callable[[], bool]] = []
-        self._end_call = 0
+        self._expiry_call = 0
         self._read: dict[str, tuple[dict[str, Record], int]] = {}  # by prefix, as of ``_read_at``
         self._read_at = (-1.0, 0)
 
     def transport(self, clock: Clock | None = None) -> MemoryTransport:
-        """One more process's way here. ``clock``: the process's own, which may stand still."""
+        """A transport for one more process. ``clock``: the process's own, which may be stopped."""
         return MemoryTransport(self, clock or self.clock)
 
-    def client(self, draw: Callable[[], float], pacing: CallTiming | None = None) -> AgreementClient:
-        """One more process, all the way."""
-        return AgreementClient(self.transport(), self.clock, draw, pacing)
+    def client(self, draw: Callable[[], float], timing: CallTiming | None = None) -> AgreementClient:
+        """An agreement client for one more process."""
+        return AgreementClient(self.transport(), self.clock, draw, timing)
 
     def save(self) -> StoreSnapshot:
         return self.store.save()
 
     def restore(self, saved: StoreSnapshot) -> None:
-        """Go back to an older state."""
+        """Restore an older state."""
         self.store.restore(saved, self.clock.now())
         self._read_at = (-1.0, 0)
         self.changed()
 
     def expire(self, lease: str) -> None:
-        """End a lease at once, as if its holder had stood still."""
+        """End a lease at once, as if it had expired."""
         self.store.end(lease, self.clock.now())
         self.changed()
 
     def changed(self) -> None:
-        """Answer the questions that something came up for, and look again when a lease may end."""
+        """Answer the blocking queries that see a change, and schedule the next expiry of a lease."""
         self.store.expire(self.clock.now())
         self._waiting = [ask for ask in self._waiting if not ask()]
         self.plan()
 
     def plan(self) -> None:
-        """Look again when a lease may end."""
-        self.clock.drop(self._end_call)
+        """Schedule the next expiry of a lease."""
+        self.clock.drop(self._expiry_call)
         end = self.store.next_end()
         if end is not None:
-            self._end_call = self.clock.at(end, self.changed)
+            self._expiry_call = self.clock.at(end, self.changed)
 
     def read(self, prefix: str) -> tuple[dict[str, Record], int]:
-        """As ``Ledger.read``, once for all questions of one moment: hundreds of processes ask the same."""
+        """As ``KvStore.read``, cached for one moment, since hundreds of processes read the same prefix."""
         now = self.clock.now()
         if self._read_at != (now, self.store.index):
             self.store.expire(now)
@@ -85,19 +84,21 @@
         return self._read[prefix]
 
     def wait(self, ask: Callable[[], bool]) -> None:
-        """``ask`` is called at each change until it says that it was answered."""
+        """Call ``ask`` at each change until it returns True (it was answered)."""
         self._waiting.append(ask)
 
 
 class MemoryTransport:
-    """One process's way to the service: a ``wire.Wire``."""
+    """One process's transport to the service: a ``transport.Transport``."""
 
     def __init__(self, service: MemoryService, clock: Clock) -> None:
         self._service, self._clock = service, clock
-        self.cut = False  # this process reaches it no more: calls are refused
-        self.busy = False  # it is turned away with 429
-        self.lost_responses = 0  # so many next commits are done and their answers lost
-        self.lost_requests = 0  # so many next commits are lost on their way there, which looks the same
+        self.cut = False  # calls of this process fail as unreachable
+        self.busy = False  # calls fail as with status 429
+        self.lost_responses = 0  # so many of the next commits are applied, but their responses lost
+        self.lost_requests = (
+            0  # so many of the next commits are lost before they arrive, which looks the same
+        )
 
     def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[ReadResult]:
         service = self._service
@@ -105,7 +106,7 @@
 
         def arrive(result: Deferred[ReadResult]) -> None:
             def ask() -> bool:
-                error = self._turned_away()
+                error = self._rejection()
                 records, now_index = service.read(prefix)
                 if error is not None:
                     self._fail(result, error)
@@ -149,7 +150,7 @@
     def close(self, lease: str) -> Deferred[None]:
         return self._call(lambda: self._service.store.end(lease, self._service.clock.now()))
 
-    def _turned_away(self) -> CoordinationError | None:
+    def _rejection(self) -> CoordinationError | None:
         if self.cut or not self._service.reachable:
             return UnreachableError("the service in memory is switched off")
         return BusyError("the service in memory is switched to busy") if self.busy else None
@@ -157,11 +158,11 @@
     def _send(self, arrive: Callable[[Deferred[T]], None]) -> Deferred[T]:
         result: Deferred[T] = Deferred()
 
-        def come() -> None:
+        def arrived() -> None:
             self._service.calls += 1
             arrive(result)
 
-        self._service.clock.after(self._service.delay_ms, come)
+        self._service.clock.after(self._service.delay_ms, arrived)
         return result
 
     def _answer(self, result: Deferred[T], what: T) -> None:
@@ -172,7 +173,7 @@
 
     def _call(self, do: Callable[[], T]) -> Deferred[T]:
         def arrive(result: Deferred[T]) -> None:
-            error = self._turned_away()
+            error = self._rejection()
             if error is not None:
                 self._fail(result, error)
                 return
--- a/lupinlink/coordination/presence.py
+++ b/lupinlink/coordination/presence.py
@@ -1,7 +1,8 @@
-"""A process's own record: who it is, held by its lease for as long as it lives.
+"""Registers a process as a member of the fleet, in a record that is locked with its lease.
 
-A record that is held is a member that lives; one that nobody holds is a member that was killed, stands still
-or is cut off (its name is the same after a restart, which takes it again); one that left in order has none.
+A locked record is a live member. An unlocked one is a member that was killed, is suspended or is cut off from
+the service; after a restart the process has the same name and locks it again. A member that left in an
+orderly way has no record.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 from lupinlink.errors import LupinError
 
 log = logging.getLogger(__name__)
-PREFIX = "alive/"  # beside the release's reports, which stand under members/
-FIRST_AGAIN_MS, MOST_AGAIN_MS = 1000.0, 10000.0  # while a process before this one still holds it
+PREFIX = "alive/"  # the reports for releases are under members/
+FIRST_RETRY_MS, MAX_RETRY_MS = 1000.0, 10000.0  # while a previous process still holds the record
 
 
 def member_record(member: Member) -> bytes:
-    """A member as its record's value."""
+    """Encode a member as its record's value."""
     return msgspec.json.encode(member)
 
 
 def read_member(value: bytes) -> Member | None:
-    """A record's member; None if it cannot be read."""
+    """Decode a record's value; None if it is not readable."""
     try:
         return msgspec.json.decode(value, type=Member)
     except msgspec.DecodeError:
@@ -38,7 +39,7 @@
 
 
 class Presence:
-    """The agent of one process."""
+    """Keeps one process registered."""
 
     def __init__(
         self,
@@ -55,17 +56,17 @@
             member,
         )
         self._key, self._value = PREFIX + member.name, member_record(member)
-        self._backoff = Backoff(FIRST_AGAIN_MS, MOST_AGAIN_MS, draw)
+        self._backoff = Backoff(FIRST_RETRY_MS, MAX_RETRY_MS, draw)
         self._call = 0
         self._stopped = False
-        self.known = False  # whether its record stands, held by the present lease
+        self.known = False  # whether the record is locked with the current lease
 
     def start(self) -> None:
-        """Be known whenever there is a lease."""
-        self._process_lease.listen(lambda lease: self._take(), self._lost)
+        """Register whenever there is a lease."""
+        self._process_lease.listen(lambda lease: self._register(), self._on_lost)
 
     def stop(self) -> None:
-        """Leave: the record goes at once, so that a process of the same name may take it."""
+        """Remove the record at once, so that a process of the same name can register."""
         self._stopped = True
         self._clock.drop(self._call)
         lease = self._process_lease.lease
@@ -74,26 +75,26 @@
             self._agreement.commit(steps).addErrback(lambda failure: None)
         self.known = False
 
-    def _lost(self, error: LupinError) -> None:
+    def _on_lost(self, error: LupinError) -> None:
         self.known = False
         self._clock.drop(self._call)
 
-    def _take(self) -> None:
+    def _register(self) -> None:
         lease = self._process_lease.lease
         if lease is not None and not self._stopped:
             taken = self._agreement.commit([Lock(self._key, self._value, lease.name)])
-            taken.addCallbacks(self._taken, self._refused, callbackArgs=(lease,))
+            taken.addCallbacks(self._on_registered, self._on_refused, callbackArgs=(lease,))
 
-    def _taken(self, records: dict[str, Record], lease: Lease) -> None:
+    def _on_registered(self, records: dict[str, Record], lease: Lease) -> None:
         if lease is self._process_lease.lease:
             self._backoff.reset()
             self.known = not self._stopped
             log.info("joined", extra={"kv": {"member": self._member.name, "lease": lease.name}})
 
-    def _refused(self, failure: Failure) -> None:
+    def _on_refused(self, failure: Failure) -> None:
         if self._stopped:
             return
         if not isinstance(failure.value, LupinError):
             log.error("could not join", exc_info=failure.value)
         self._clock.drop(self._call)
-        self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._take)
+        self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._register)
--- a/lupinlink/coordination/process_lease.py
+++ b/lupinlink/coordination/process_lease.py
@@ -1,6 +1,7 @@
-"""One lease for all that a process holds, taken anew when it was lost.
+"""The one lease of a process, requested again after it is lost.
 
-A lease costs a renewal each third of its time, so the parts of a process share one. Losing it loses all.
+A lease costs a renewal each third of its time, so all components of a process share one. When it is lost,
+everything that was locked with it is lost.
 """
 
 from __future__ import annotations
@@ -17,50 +18,50 @@
 from lupinlink.errors import LupinError
 
 log = logging.getLogger(__name__)
-FIRST_AGAIN_MS, MOST_AGAIN_MS = 500.0, 10000.0  # waits after failures
-Gained = Callable[[Lease], None]
-Lost = Callable[[LupinError], None]
+FIRST_RETRY_MS, MAX_RETRY_MS = 500.0, 10000.0  # wait between failed requests
+OnGained = Callable[[Lease], None]
+OnLost = Callable[[LupinError], None]
 
 
 class ProcessLease:
-    """The agent; ``start`` it once."""
+    """Holds the lease; ``start`` it once."""
 
     def __init__(self, agreement: Agreement, clock: Clock, ttl_ms: float, draw: Callable[[], float]) -> None:
         self._agreement, self._clock, self._ttl_ms, self._draw = agreement, clock, ttl_ms, draw
-        self._backoff = Backoff(FIRST_AGAIN_MS, MOST_AGAIN_MS, draw)
-        self._listeners: list[tuple[Gained, Lost]] = []
+        self._backoff = Backoff(FIRST_RETRY_MS, MAX_RETRY_MS, draw)
+        self._listeners: list[tuple[OnGained, OnLost]] = []
         self._lease: Lease | None = None
         self._call = 0
         self._stopped = False
-        self.failures = 0  # in a row, of asking for a lease
-        self.why = ""  # the last of them
+        self.failures = 0  # failed requests for a lease in a row
+        self.why = ""  # the last failure, as text
 
     @property
     def lease(self) -> Lease | None:
-        """The lease, while it may be believed."""
+        """The lease, while it is valid."""
         return self._lease if self._lease is not None and self._lease.holds() else None
 
-    def listen(self, gained: Gained, lost: Lost) -> None:
-        """Be told of each lease and of each loss; of the one that there is at once."""
+    def listen(self, gained: OnGained, lost: OnLost) -> None:
+        """Subscribe to each new lease and each loss; a present lease is reported at once."""
         self._listeners.append((gained, lost))
         if (lease := self.lease) is not None:
             gained(lease)
 
     def start(self) -> None:
-        """Take a lease within the first half second: a fleet that starts together does not ask together."""
-        self._call = self._clock.at(self._clock.now() + self._draw() * FIRST_AGAIN_MS, self._ask)
+        """Request a lease at a random time within ``FIRST_RETRY_MS``, which spreads a fleet's start."""
+        self._call = self._clock.at(self._clock.now() + self._draw() * FIRST_RETRY_MS, self._request)
 
     def stop(self) -> Deferred[None]:
-        """Give it up; nobody is told."""
+        """End the lease without notifying the listeners."""
         self._stopped = True
         self._clock.drop(self._call)
         lease, self._lease = self._lease, None
         return lease.end() if lease is not None else succeed(None)
 
-    def _ask(self) -> None:
-        self._agreement.lease(self._ttl_ms, self._ended).addCallbacks(self._granted, self._failed)
+    def _request(self) -> None:
+        self._agreement.lease(self._ttl_ms, self._on_lost).addCallbacks(self._on_granted, self._on_failed)
 
-    def _granted(self, lease: Lease) -> None:
+    def _on_granted(self, lease: Lease) -> None:
         if self._stopped:
             lease.end()
             return
@@ -70,23 +71,23 @@
         for gained, _ in self._listeners:
             gained(lease)
 
-    def _failed(self, failure: Failure) -> None:
+    def _on_failed(self, failure: Failure) -> None:
         if self._stopped:
             return
-        self.failures, self.why = self.failures + 1, _line(failure)
+        self.failures, self.why = self.failures + 1, _describe(failure)
         if self.failures == 1:
             log.warning("no lease", extra={"kv": {"why": self.why}})
-        self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._ask)
+        self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._request)
 
-    def _ended(self, error: LupinError) -> None:
+    def _on_lost(self, error: LupinError) -> None:
         if self._stopped:
             return
         self._lease = None
-        self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._ask)
+        self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._request)
         for _, lost in self._listeners:
             lost(error)
 
 
-def _line(failure: Failure) -> str:
+def _describe(failure: Failure) -> str:
     error = failure.value
     return error.line() if isinstance(error, LupinError) else f"{type(error).__name__}: {error}"
--- a/lupinlink/coordination/restore_detection.py
+++ b/lupinlink/coordination/restore_detection.py
@@ -1,8 +1,8 @@
-"""What an answer to a standing question says about the service's history. Pure.
+"""Detects from successive views that the service was restored to an older state. Performs no I/O.
 
-Consul's index of a prefix may go back without harm (a deleted record's trace is swept) and may go on rising
-after a restore. So a restore is told by the records: one that stands at a lower revision than before, or is
-gone while the index lies under the revision that it had.
+Consul's index of a prefix may decrease without a restore (when the tombstone of a deleted record is removed)
+and may keep rising after one. So a restore is detected by the records: one is at a lower revision than
+before, or is missing while the index is lower than the revision that it had.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def restored(before: View, after: View) -> bool:
-    """Whether the service went back between two answers for one prefix, ``before`` the earlier one."""
+    """Whether the service was restored between two views of one prefix."""
     for key, old in before.records.items():
         new = after.records.get(key)
         if new.revision < old.revision if new is not None else after.index < old.revision:
@@ -22,7 +22,7 @@
 
 
 def next_view(before: View | None, after: View) -> View:
-    """The View to tell: its index is lower than the one told before only if the service was restored."""
+    """The view to deliver: its index is lower than that of the last one only after a restore."""
     if before is None:
         return after
     if restored(before, after):
--- a/lupinlink/coordination/transport.py
+++ b/lupinlink/coordination/transport.py
@@ -1,7 +1,7 @@
-"""What a form of the agreement service must be able to do: single calls, each with a time-out of its own.
+"""The interface of a transport to the agreement service: single calls, each with a time-out.
 
-``lupinlink.coordination.client`` makes an ``Agreement`` of it: renewals, standing questions, pace, back-off.
-Errors as in ``lupinlink.coordination.contract``.
+``lupinlink.coordination.client`` builds an ``Agreement`` on it, with lease renewal, watches, rate limit and
+backoff. Errors as in ``lupinlink.coordination.contract``.
 """
 
 from __future__ import annotations
@@ -17,37 +17,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """The answer to a question."""
+    """The result of a read."""
 
     records: dict[str, Record]  # by key
-    index: int  # to be handed in with the next question, over 0
+    index: int  # over 0; to be passed to the next blocking query
 
 
 class Transport(Protocol):
-    """The calls."""
+    """A transport to the agreement service."""
 
     def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[ReadResult]:
-        """Records below a prefix; with an index over 0 only once there is another, or after ``wait_ms``.
+        """Return the records below a prefix; given an index over 0, once it differs or after ``wait_ms``.
 
         Fails: UnreachableError, BusyError.
         """
         ...
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
-        """All steps or none; as ``Agreement.commit``."""
+        """Apply the steps atomically, as ``Agreement.commit`` does."""
         ...
 
     def open(self, ttl_ms: float) -> Deferred[str]:
-        """A new lease's name. Fails: UnreachableError, BusyError; one made unheard ends by itself."""
+        """Create a lease and return its name. Fails: UnreachableError, BusyError.
+
+        If the response is lost, the lease that was created expires without being used.
+        """
         ...
 
     def renew(self, lease: str) -> Deferred[float]:
-        """Renew it; gives its time, more than was asked for from a service that wants fewer renewals.
+        """Renew a lease; returns its time to live, which the service may have raised to get fewer renewals.
 
-        Fails: LeaseLostError (there is none), UnreachableError, BusyError.
+        Fails: LeaseLostError (there is no such lease), UnreachableError, BusyError.
         """
         ...
 
     def close(self, lease: str) -> Deferred[None]:
-        """End it. Fails: UnreachableError, BusyError."""
+        """End a lease. Fails: UnreachableError, BusyError."""
         ...
--- a/tests/test_agreement_parts.py
+++ b/tests/test_agreement_parts.py
@@ -177,7 +177,7 @@
         ]  # fmt: skip
         value = {"Key": "p/a", "Value": "dg=="}
         self.assertEqual(
-            [one["KV"] for one in json.loads(messages.operations("p/", steps))],
+            [one["KV"] for one in json.loads(messages.encode_transaction("p/", steps))],
             [
                 {"Verb": "set", **value}, {"Verb": "cas", **value, "Index": 0},
                 {"Verb": "cas", **value, "Index": 7}, {"Verb": "check-not-exists", "Key": "p/a"},
@@ -191,11 +191,13 @@
 
     def test_a_session_lives_by_its_time_alone(self) -> None:
         self.assertEqual(
-            json.loads(messages.session("n1", 10000.0, 500.0)),
+            json.loads(messages.encode_session("n1", 10000.0, 500.0)),
             {"Name": "n1", "TTL": "10s", "LockDelay": "0.5s", "Behavior": "release", "NodeChecks": []},
         )
-        self.assertEqual([messages.renewed(b'[{"TTL":"%s"}]' % t) for t in (b"15s", b"300ms", b"1m", b"")],
-                         [15000.0, 300.0, 0.0, 0.0])  # fmt: skip
+        self.assertEqual(
+            [messages.decode_session_ttl_ms(b'[{"TTL":"%s"}]' % t) for t in (b"15s", b"300ms", b"1m", b"")],
+            [15000.0, 300.0, 0.0, 0.0],
+        )
 
     def test_what_an_answer_leaves_open(self) -> None:
         for status, text, write, read in (
@@ -211,5 +213,5 @@
             (502, "", UncertainError, UnreachableError),
         ):
             with self.subTest(status=status, text=text):
-                self.assertIs(type(messages.refusal(status, text.encode(), writes=True)), write)
-                self.assertIs(type(messages.refusal(status, text.encode(), writes=False)), read)
+                self.assertIs(type(messages.error_from_response(status, text.encode(), writes=True)), write)
+                self.assertIs(type(messages.error_from_response(status, text.encode(), writes=False)), read)
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -226,8 +226,8 @@
     def test_answers_that_overtake_each_other_change_nothing(self) -> None:
         first = self.candidates(1)[0]
         now = self.service.store.records[KEY]
-        first.lead._view(View(KEY, {}, 1, asked_ms=0.0))  # asked before it led, comes late
-        first.lead._written({KEY: replace(now, revision=1, lease="older")}, None)
+        first.lead._on_view(View(KEY, {}, 1, asked_ms=0.0))  # asked before it led, comes late
+        first.lead._on_written({KEY: replace(now, revision=1, lease="older")}, None)
         self.assertEqual((first.lead.is_leader, first.lost), (True, 0))
 
     def test_a_record_that_cannot_be_read_stops_no_campaign(self) -> None:
