--- a/lupinlink/commands/__init__.py
+++ b/lupinlink/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: a module per sub-command, its docstring being the usage; ``cli`` imports only that one."""
+"""The command line: one module per sub-command, its docstring being the usage. ``cli`` imports only that."""
--- a/lupinlink/commands/lab.py
+++ b/lupinlink/commands/lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: play scenarios against the proxies' decisions and report what came of it.
+"""The lab: run scenarios against the proxies and report the results.
 
 Usage:
   lupinlink lab scenarios [--json]
@@ -23,53 +23,53 @@
 
 Commands:
   scenarios  List the scenarios that come with the program.
-  check      Read scenario files and say what is wrong with them, a line a flaw.
-  run        Play one scenario, by name or file.
-  sweep      Play one scenario again and again with a figure of it varied.
-  compare    Set runs or sweeps side by side, the first being the base, and say which differences are noise.
-  report     Write DIR/report.html from a run's folder.
-  variants   Play variants of the module that each lack one thing, and rank them.
-  scaling    Measure how the virtual drive's cost grows with servers, proxies and requests.
-  load       Send requests to an address on loopback, open-loop, and measure what came of them.
-  operate    Play upgrade, drain, restart or bulk (bodies of 32 MB) on a real proxy under load.
-  fleet      Play one scenario on a fleet of real proxy processes, with faults between them.
-  herd       Start many proxies at one moment while discovery is short of room, in simulated time.
-  server     Stand as one emulated application server on loopback until a signal ends it.
+  check      Validate scenario files and print each defect on a line.
+  run        Run one scenario, by name or file.
+  sweep      Run one scenario repeatedly with one value of it varied.
+  compare    Compare runs or sweeps with the first one, and tell which differences are noise.
+  report     Write DIR/report.html from the results of a run.
+  variants   Run variants of the decision module that each lack one mechanism, and rank them.
+  scaling    Measure how the cost of simulation grows with servers, proxies and requests.
+  load       Send requests to a loopback address, open-loop, and measure the results.
+  operate    Run upgrade, drain, restart or bulk (bodies of 32 MB) on a real proxy under load.
+  fleet      Run one scenario on a fleet of real proxy processes, with faults between them.
+  herd       Start many proxies at one moment while discovery is overloaded, in simulated time.
+  server     Run one emulated application server on loopback until a signal ends it.
 
 Options:
-  --drive=DRIVE      virtual: simulated time, any size; sockets: real proxies on loopback in real time.
+  --drive=DRIVE      virtual: simulated time, any size; sockets: real proxies on loopback, in real time.
                      [default: virtual]
-  --seed=N           Every draw follows from it. [default: 1]
+  --seed=N           Seed of all random numbers. [default: 1]
   --seeds=N          Seeds 1 to N at each step. [default: 1]
-  --out=DIR          Keep the run's folder there; without it only the summary is printed.
-  --proxies=N        Short for --set=proxies.count=N; of herd: 48, where none is given.
+  --out=DIR          Write the results there; without it only the summary is printed.
+  --proxies=N        Short for --set=proxies.count=N; for herd 48 by default.
   --servers=N        Short for --set=farm.servers=N.
-  --program=DIR      A checkout that is built: its run, as its deploy file says. Without: this very program.
+  --program=DIR      A built checkout to run, as its deploy file says; without it, this program.
   --logs=DIR         Keep the proxies' logs there.
-  --fault=NAMES      Further faults by name, with commas between: docs/operators/fleet-rig.md lists them.
-  --set=KEY=VALUE    Put a value in place of the scenario's: load.rate=300, faults.jump.size=3.
+  --fault=NAMES      Further faults by name, separated by commas: docs/operators/fleet-rig.md lists them.
+  --set=KEY=VALUE    Override a value of the scenario: load.rate=300, faults.jump.size=3.
   --vary=KEY=A:B:STEP  From A to B in steps.
-  --scenarios=NAMES  With commas between; else a set of troubled ones.
-  --jobs=N           Processes at once. [default: 4]
-  --against=SCORES   Another ranking, as today=0.9,random=0.1,...; Kendall's tau tells how far both agree.
-  --target=HOST:PORT Where to send; on loopback only.
-  --rate=N           Requests a second, up to 50000; of operate: 200, where none is given.
-  --seconds=S        How long, up to 600.
-  --path=PATH        A number is put behind it. [default: /look/]
-  --give-up=MS       So long is an answer waited for. [default: 2000]
-  --connections=N    At most so many. [default: 512]
-  --calls=N          What discovery handles a second. [default: 5]
-  --times=N          Rounds of it. [default: 5]
-  --crowd=N          Connections beside it that say nothing. [default: 0]
-  --sockets=N        What the proxy is told it may hold. [default: 384]
-  --memory=MB        Likewise. [default: 80]
-  --port=PORT        0: one that is free. [default: 0]
-  --work=MS          Mean work of a request, exponential; 0: answered at once. [default: 0]
-  --cores=N          Of the emulated server. [default: 2]
-  --json             Print what a program can read.
+  --scenarios=NAMES  Separated by commas; by default a set of scenarios with faults.
+  --jobs=N           Parallel processes. [default: 4]
+  --against=SCORES   Another ranking, as today=0.9,random=0.1,...; Kendall's tau measures the agreement.
+  --target=HOST:PORT Where to send requests; on loopback only.
+  --rate=N           Requests per second, up to 50000; for operate 200 by default.
+  --seconds=S        Duration, up to 600.
+  --path=PATH        Path of the requests; a number is appended. [default: /look/]
+  --give-up=MS       Time-out of a request. [default: 2000]
+  --connections=N    Maximum number of connections. [default: 512]
+  --calls=N          Calls per second that discovery handles. [default: 5]
+  --times=N          Number of rounds. [default: 5]
+  --crowd=N          Additional idle connections. [default: 0]
+  --sockets=N        The proxy's limit of sockets. [default: 384]
+  --memory=MB        The proxy's limit of memory. [default: 80]
+  --port=PORT        0: any free port. [default: 0]
+  --work=MS          Mean work per request, exponential; 0: immediate responses. [default: 0]
+  --cores=N          Cores of the emulated server. [default: 2]
+  --json             Print JSON.
   -h --help          Show this text.
 
-Exit: 0 done; 1 a file is bad, a run broke a rule, lost something or did not end; 2 asked wrongly.
+Exit: 0 done; 1 a file is invalid, a run broke a rule, lost something or did not end; 2 invalid arguments.
 """
 
 from __future__ import annotations
@@ -155,7 +155,7 @@
 
 
 def with_short_options(args: dict[str, Any]) -> list[str]:
-    """What is set, the short forms among it."""
+    """The values of --set, with the short options added in the same form."""
     found = list(args["--set"])
     for option, key in (("--proxies", "proxies.count"), ("--servers", "farm.servers")):
         if args[option]:
@@ -164,16 +164,16 @@
 
 
 def whole_number(text: str, what: str, least: int = 0) -> int:
-    """A whole number off the command line."""
+    """Parse a whole number of at least ``least``. Raises WrongError."""
     from lupinlink.lab.desk import WrongError
 
     if not text.isascii() or not text.isdigit() or int(text) < least:
-        raise WrongError(f"{what}: {text!r} is no whole number from {least} on", 2)
+        raise WrongError(f"{what}: {text!r} is no whole number of at least {least}", 2)
     return int(text)
 
 
 def number(text: str, what: str) -> float:
-    """A number from 0 on off the command line."""
+    """Parse a number of at least 0. Raises WrongError."""
     from lupinlink.lab.desk import WrongError
 
     try:
@@ -181,12 +181,12 @@
     except ValueError:
         found = -1.0
     if not 0.0 <= found < float("inf"):
-        raise WrongError(f"{what}: {text!r} is no number from 0 on", 2)
+        raise WrongError(f"{what}: {text!r} is no number of at least 0", 2)
     return found
 
 
 def key_values(texts: list[str]) -> dict[str, Any]:
-    """KEY=VALUE off the command line; a value is read as JSON where it is that, else as text."""
+    """Parse KEY=VALUE arguments; a value is JSON if it parses as such, else a text. Raises WrongError."""
     from lupinlink.lab.desk import WrongError
 
     found: dict[str, Any] = {}
@@ -202,7 +202,7 @@
 
 
 def varied_values(text: str) -> tuple[str, list[float]]:
-    """KEY=A:B:STEP."""
+    """Parse KEY=A:B:STEP into the key and its values. Raises WrongError."""
     from lupinlink.lab.desk import WrongError
 
     key, _, span = text.partition("=")
--- a/lupinlink/coordination/errors.py
+++ b/lupinlink/coordination/errors.py
@@ -66,7 +66,7 @@
 
     code = "LL107"
     about = "the agreement service was restored to an older state"
-    remedy = "repeat the halts and releases that were requested after that state was saved"
+    remedy = "check halts and releases requested after that state was saved, and request them again"
 
 
 class DeniedError(UnreachableError):
