--- a/tests/agreements.py
+++ b/tests/agreements.py
@@ -1,4 +1,4 @@
-"""The two forms of the agreement service, started for tests, each with switches for what may go wrong."""
+"""The agreement service in memory and as emulated Consul, for tests, with switches that simulate faults."""
 
 from __future__ import annotations
 
@@ -23,39 +23,41 @@
 from lupinlink.net.timer_wheel import ReactorClock
 from tests.proxy_process import ROOT
 
-PACING = CallTiming(ask_ms=20.0, wait_ms=150.0, retry_ms=50.0)
+CALL_TIMING = CallTiming(ask_ms=20.0, wait_ms=150.0, retry_ms=50.0)
 LOCK_DELAY_MS = 200.0
 CALL_MS = 400.0
 
 
-class InMemory:
-    """The form in memory."""
+class InMemoryService:
+    """The service in memory."""
 
     def __init__(self) -> None:
         self.clock = ReactorClock(reactor)
         self._service = MemoryService(self.clock, LOCK_DELAY_MS, late=1.5)
-        self._wires: list[MemoryTransport] = []
+        self._transports: list[MemoryTransport] = []
         self._saved = StoreSnapshot(1)
 
     def client(self) -> AgreementClient:
         transport = self._service.transport()
-        self._wires.append(transport)
-        return AgreementClient(transport, self.clock, random.Random(len(self._wires)).random, PACING)
+        self._transports.append(transport)
+        return AgreementClient(
+            transport, self.clock, random.Random(len(self._transports)).random, CALL_TIMING
+        )
 
     def cut(self, number: int, on: bool = True) -> None:
-        """One client's calls do not arrive, or do again."""
-        self._wires[number].cut = on
+        """Cut one client off from the service, or connect it again."""
+        self._transports[number].cut = on
 
     def gone(self, on: bool = True) -> None:
         self._service.reachable = not on
         self._service.changed()
 
     def busy(self, on: bool = True) -> None:
-        for transport in self._wires:
+        for transport in self._transports:
             transport.busy = on
 
     def lose_answer(self) -> None:
-        for transport in self._wires:
+        for transport in self._transports:
             transport.lost_responses = 1
 
     def save(self) -> None:
@@ -68,15 +70,15 @@
         self._service.expire(lease)
 
     def close(self) -> None:
-        """Nothing is left."""
+        """Nothing to clean up."""
 
 
-class StandIn:
-    """Consul's API as the rig stands in for it, in a process of its own; one for all tests."""
+class ConsulStandIn:
+    """The lab's emulation of Consul's API, in a process of its own that all tests of a class share."""
 
     _process: subprocess.Popen[str] | None = None
     _ports: dict[str, int]
-    _run = count(1)
+    _run_numbers = count(1)
 
     def __init__(self) -> None:
         kind = type(self)
@@ -88,42 +90,42 @@
             assert kind._process.stdout is not None
             kind._ports = json.loads(kind._process.stdout.readline())
         self.clock = ReactorClock(reactor)
-        self._prefix = f"run{next(self._run)}/"
+        self._prefix = f"run{next(self._run_numbers)}/"
         self._hosts: list[str] = []
-        self._wires: list[ConsulTransport] = []
+        self._transports: list[ConsulTransport] = []
         self._faults: set[str] = set()
 
     def client(self) -> AgreementClient:
         host = f"127.0.1.{len(self._hosts) + 1}"
-        place = ConsulSettings(host, self._ports["port"], self._prefix, "", CALL_MS, LOCK_DELAY_MS)
-        transport = ConsulTransport(reactor, place)
+        settings = ConsulSettings(host, self._ports["port"], self._prefix, "", CALL_MS, LOCK_DELAY_MS)
+        transport = ConsulTransport(reactor, settings)
         self._hosts.append(host)
-        self._wires.append(transport)
-        return AgreementClient(transport, self.clock, random.Random(len(self._hosts)).random, PACING)
+        self._transports.append(transport)
+        return AgreementClient(transport, self.clock, random.Random(len(self._hosts)).random, CALL_TIMING)
 
     def call(self, what: str, method: str = "PUT", **body: Any) -> Any:
-        """A call to the service's control port."""
+        """Call the control port of the service."""
         url = f"http://127.0.0.1:{self._ports['control']}/_stand_in/{what}"
-        asked = urllib.request.Request(url, json.dumps(body).encode(), method=method)
-        with urllib.request.urlopen(asked, timeout=10) as answer:
+        request = urllib.request.Request(url, json.dumps(body).encode(), method=method)
+        with urllib.request.urlopen(request, timeout=10) as answer:
             return json.load(answer)
 
     @property
     def port(self) -> int:
         return self._ports["port"]
 
-    def until(self, prefix: str, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """The records below a prefix as the service shows them, by key, once they are so."""
+    def until(self, prefix: str, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+        """Wait until ``condition`` is true of the records below a prefix, by key; return them."""
         index = 0
         for _ in range(200):
             url = f"http://127.0.0.1:{self.port}/v1/kv/{prefix}?recurse&wait=2s&index={index}"
             try:
                 with urllib.request.urlopen(url, timeout=10) as answer:
                     index, rows = int(answer.headers["X-Consul-Index"]), json.load(answer)
-            except urllib.error.HTTPError as none:  # 404: there are none
+            except urllib.error.HTTPError as none:  # 404: there are no records
                 index, rows = int(none.headers["X-Consul-Index"]), []
             found = {row["Key"]: row for row in rows}
-            if holds(found):
+            if condition(found):
                 return found
         raise AssertionError(f"{prefix}: {found}")
 
@@ -161,12 +163,12 @@
     def close(self) -> None:
         for kind in list(self._faults):
             self._fault(kind, False)
-        for transport in self._wires:
+        for transport in self._transports:
             transport.stop()
 
     @classmethod
     def end(cls) -> None:
-        """The process ends."""
+        """End the process of the service."""
         if cls._process is not None:
             with suppress(OSError):
                 cls._process.communicate(timeout=10)
--- a/tests/contract_suite.py
+++ b/tests/contract_suite.py
@@ -1,4 +1,4 @@
-"""What the tests of the contract of agreement share: they await, and run against both forms."""
+"""Helpers of the tests of the agreement interface, which run against both implementations."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 TTL_MS = 300.0
 
 
-def plays(test: Callable[[Any], Coroutine[Any, Any, None]]) -> Callable[[Any], Deferred[None]]:
-    """A test that awaits."""
+def async_test(test: Callable[[Any], Coroutine[Any, Any, None]]) -> Callable[[Any], Deferred[None]]:
+    """Turn a coroutine into a test for trial."""
 
     @wraps(test)
-    def played(self: Any) -> Deferred[None]:
+    def run(self: Any) -> Deferred[None]:
         return Deferred.fromCoroutine(test(self))
 
-    return played
+    return run
 
 
-class Told:
-    """What a watch has told; ``until`` waits for a View."""
+class WatchRecorder:
+    """Records the views and errors of a watch; ``until`` waits for a condition."""
 
     def __init__(self, agreement: Agreement, prefix: str) -> None:
         self.views: list[View] = []
         self.errors: list[LupinError] = []
         self._waits: list[tuple[Callable[[], bool], Deferred[None]]] = []
-        self.watch = agreement.watch(prefix, self._seen, self._silent)
+        self.watch = agreement.watch(prefix, self._on_view, self._on_error)
 
-    def _seen(self, view: View) -> None:
+    def _on_view(self, view: View) -> None:
         self.views.append(view)
-        self._look()
+        self._check_waits()
 
-    def _silent(self, error: LupinError) -> None:
+    def _on_error(self, error: LupinError) -> None:
         self.errors.append(error)
-        self._look()
+        self._check_waits()
 
-    def _look(self) -> None:
+    def _check_waits(self) -> None:
         for wait in [wait for wait in self._waits if wait[0]()]:
             self._waits.remove(wait)
             wait[1].callback(None)
@@ -51,7 +51,7 @@
     def until(self, holds: Callable[[], bool]) -> Deferred[None]:
         fired: Deferred[None] = Deferred()
         self._waits.append((holds, fired))
-        self._look()
+        self._check_waits()
         return fired.addTimeout(8.0, reactor)
 
     def more(self) -> Deferred[None]:
@@ -63,8 +63,8 @@
         return {key: record.value for key, record in self.views[-1].records.items()} if self.views else {}
 
 
-class Contract:
-    """Two clients of one service; a subclass names the form."""
+class AgreementContract:
+    """Two clients of one service; a subclass sets the implementation as ``form``."""
 
     form: Callable[[], Any]
 
@@ -79,32 +79,32 @@
         net: Any = reactor
         for call in net.getDelayedCalls():
             call.cancel()
-        net.removeAll()  # connections that never came up
+        net.removeAll()  # connections that were never established
 
-    async def fails(self: Any, kind: type[E], *steps: Step, by: Agreement | None = None) -> E:
+    async def assert_commit_fails(self: Any, kind: type[E], *steps: Step, by: Agreement | None = None) -> E:
         try:
             await (by or self.a).commit(steps)
         except kind as error:
             return error
-        raise AssertionError(f"{steps} was done")
+        raise AssertionError(f"{steps} was applied")
 
     async def value(self: Any, key: str) -> bytes | None:
         record = (await self.b.read(key)).records.get(key)
         return record.value if record is not None else None
 
-    def told(self: Any, agreement: Agreement, prefix: str) -> Told:
-        told = Told(agreement, prefix)
-        self.addCleanup(told.watch.stop)
-        return told
+    def watched(self: Any, agreement: Agreement, prefix: str) -> WatchRecorder:
+        watched = WatchRecorder(agreement, prefix)
+        self.addCleanup(watched.watch.stop)
+        return watched
 
     async def lease(self: Any, agreement: Agreement, lost: Callable[[LupinError], object] = id) -> Lease:
         lease: Lease = await agreement.lease(TTL_MS, lost)
         self.addCleanup(lambda: lease.end())
         return lease
 
-    async def failing(self: Any, kind: type[LupinError], call: Awaitable[object]) -> None:
+    async def assert_fails(self: Any, kind: type[LupinError], call: Awaitable[object]) -> None:
         try:
             await call
         except kind:
             return
-        raise AssertionError("it was answered")
+        raise AssertionError("the call succeeded")
--- a/tests/fleet_members.py
+++ b/tests/fleet_members.py
@@ -1,4 +1,4 @@
-"""Processes of a fleet on a virtual clock, for tests: each may stand still, be cut off, and go on."""
+"""Processes of a fleet on a virtual clock, for tests; each can be suspended, cut off and resumed."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class StoppableClock:
-    """A process's ``Clock``: time goes on while it stands still, its calls are made when it goes on."""
+    """A process's ``Clock``: while the process is suspended, time goes on but calls wait until it resumes."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock, self.stopped = clock, False
@@ -41,8 +41,8 @@
     def drop(self, number: int) -> None:
         self._clock.drop(number)
 
-    def go_on(self) -> None:
-        """SIGCONT: what came due meanwhile is made now."""
+    def resume(self) -> None:
+        """As after SIGCONT: make the calls that came due meanwhile."""
         self.stopped = False
         late, self._late = self._late, []
         for call in late:
@@ -50,7 +50,7 @@
 
 
 class Candidate:
-    """One process that campaigns."""
+    """One process that takes part in the election."""
 
     def __init__(self, service: MemoryService, clock: VirtualClock, number: int) -> None:
         self.clock = StoppableClock(clock)
@@ -58,9 +58,9 @@
         draw = random.Random(number).random
         self.client = AgreementClient(self.transport, self.clock, draw)
         self.process_lease = ProcessLease(self.client, self.clock, TTL_MS, draw)
-        self.seen = HighestFence()
-        self.became: list[int] = []
-        self.lost = self.failed = 0
+        self.highest_fence = HighestFence()
+        self.fences_led: list[int] = []
+        self.lost = self.failed_writes = 0
         self.lead = LeaderElection(
             self.client,
             self.clock,
@@ -68,24 +68,27 @@
             KEY,
             f"p{number}",
             draw,
-            self._became,
+            self._on_elected,
             self._lost,
-            self.seen,
+            self.highest_fence,
         )
         self.process_lease.start()
         self.lead.start()
 
-    def _became(self, fence: int) -> None:
-        self.became.append(fence)
+    def _on_elected(self, fence: int) -> None:
+        self.fences_led.append(fence)
 
     def _lost(self, error: object) -> None:
         self.lost += 1
 
-    def decide(self) -> Callable[[], None]:
-        """Something to write under its lead, as far as it believes in one now; it is written when called."""
+    def prepare_write(self) -> Callable[[], None]:
+        """Prepare a write as leader, if the process is one by its own clock; the result performs it."""
         if not self.lead.is_leader:
             return lambda: None
-        value = b"%d %d" % (self.lead.fence, next(_numbers))  # an equal one would be no change
+        value = b"%d %d" % (
+            self.lead.fence,
+            next(_numbers),
+        )  # unique, since an equal value would be no change
         steps: list[Step] = [*self.lead.guard(), Put("work", value, None)]
 
         def write() -> None:
@@ -95,11 +98,11 @@
 
     def _failed(self, failure: Failure) -> None:
         assert isinstance(failure.value, CoordinationError)
-        self.failed += 1
+        self.failed_writes += 1
 
 
-class Works:
-    """The fences under which work was accepted, in order, in the service's present history."""
+class AcceptedWrites:
+    """The fences of the writes that the service accepted since its last restore, in order."""
 
     def __init__(self, service: MemoryService) -> None:
         self.fences: list[int] = []
--- a/tests/release_fleet.py
+++ b/tests/release_fleet.py
@@ -61,7 +61,7 @@
         if stopped:
             place.clock.stopped = True
         else:
-            place.clock.go_on()
+            place.clock.resume()
 
     def trips(self) -> Counter[str]:
         return Counter(name for _, name in self.drains)
--- a/tests/test_agreement_parts.py
+++ b/tests/test_agreement_parts.py
@@ -1,4 +1,4 @@
-"""The pure parts below the agreement: waits, pace, history, the ledger's promises, Consul's answers."""
+"""Backoff, rate limit, restore detection, the in-memory store and the encoding of Consul's messages."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
 KEYS = st.sampled_from(["a", "b"])
 
 
-class LedgerMachine(RuleBasedStateMachine):
-    """What the published pages promise of leases and locks, over any order of calls."""
+class KvStoreMachine(RuleBasedStateMachine):
+    """Checks Consul's documented guarantees for leases and locks over random sequences of calls."""
 
     @initialize(late=st.floats(1.0, 2.0))
     def begin(self, late: float) -> None:
         self.store, self.now = KvStore(DELAY_MS, late), 0.0
         self.names: list[str] = []
         self.renewed: dict[str, float] = {}
-        self.let_go: dict[str, float] = {}
+        self.unlocked_at: dict[str, float] = {}
         self.index = 0
 
     @rule(ms=st.floats(0.0, 4000.0))
@@ -59,8 +59,8 @@
         self.store.expire(self.now)
         for key, lease in held.items():
             if self.store.records[key].lease != lease:
-                assert self.now >= self.renewed[lease] + TTL_MS  # a lower bound
-                self.let_go[key] = self.now
+                assert self.now >= self.renewed[lease] + TTL_MS  # leases never end earlier
+                self.unlocked_at[key] = self.now
 
     @rule()
     def open(self) -> None:
@@ -79,7 +79,7 @@
                 assert name not in self.store.grants
 
     @rule(key=KEYS, number=st.integers(0, 9), value=st.binary(max_size=1))
-    def take(self, key: str, number: int, value: bytes) -> None:
+    def lock(self, key: str, number: int, value: bytes) -> None:
         for name in self.names[number : number + 1]:
             before = self.store.records.get(key)
             try:
@@ -89,11 +89,11 @@
             assert before is None or before.lease in ("", name)
             assert after.lease == name in self.store.grants
             if before is None or before.lease != name:
-                assert self.now >= self.let_go.get(key, -DELAY_MS) + DELAY_MS
+                assert self.now >= self.unlocked_at.get(key, -DELAY_MS) + DELAY_MS
                 assert after.lock_count == (before.lock_count if before else 0) + 1
 
     @rule(key=KEYS, number=st.integers(0, 9))
-    def drop(self, key: str, number: int) -> None:
+    def unlock(self, key: str, number: int) -> None:
         for name in self.names[number : number + 1]:
             try:
                 assert self.store.commit([Unlock(key, b"", name)], self.now)[key].lease == ""
@@ -112,7 +112,7 @@
             assert behind > 0
 
     @invariant()
-    def the_index_never_falls_and_only_leases_hold(self) -> None:
+    def the_index_never_decreases_and_only_leases_lock(self) -> None:
         if hasattr(self, "store"):
             assert self.store.index >= self.index
             self.index = self.store.index
@@ -120,56 +120,58 @@
             assert all(record.revision <= self.index for record in self.store.records.values())
 
 
-LedgerMachine.TestCase.settings = settings(
+KvStoreMachine.TestCase.settings = settings(
     max_examples=30, stateful_step_count=30, deadline=None, derandomize=True
 )
-LedgerTest = LedgerMachine.TestCase
+KvStoreTest = KvStoreMachine.TestCase
 
 
-class Waits(unittest.TestCase):
+class BackoffAndRateLimit(unittest.TestCase):
     @settings(derandomize=True, deadline=None, max_examples=40)
     @given(st.floats(1.0, 1e4), st.floats(1.0, 1e5), st.integers(0, 9))
-    def test_a_wait_lies_between_its_bounds_and_begins_anew(self, base: float, cap: float, seed: int) -> None:
+    def test_a_wait_stays_within_its_bounds_and_resets(self, base: float, cap: float, seed: int) -> None:
         backoff = Backoff(base, cap, random.Random(seed).random)
         waits = [backoff.next_ms() for _ in range(20)]
         self.assertTrue(all(base <= wait <= max(base, cap) for wait in waits))
         backoff.reset()
         self.assertLessEqual(backoff.next_ms(), 3 * base)
 
-    def test_two_hundred_that_failed_together_come_back_apart(self) -> None:
+    def test_two_hundred_callers_that_failed_together_retry_spread_out(self) -> None:
         waits = [Backoff(500.0, 10000.0, random.Random(i).random) for i in range(200)]
         at = sorted(sum(one.next_ms() for _ in range(6)) for one in waits)
         most = max(sum(start <= t < start + 1000.0 for t in at) for start in at)
-        self.assertLess(most, 30)  # in any second
+        self.assertLess(most, 30)  # in any one second
 
     @settings(derandomize=True, deadline=None, max_examples=40)
     @given(st.lists(st.floats(0.0, 3000.0), min_size=1, max_size=60))
-    def test_questions_keep_their_pace(self, gaps: list[float]) -> None:
-        pace, now, asked = CallRateLimiter(1000.0, 3), 0.0, []
+    def test_queries_stay_below_the_rate_limit(self, gaps: list[float]) -> None:
+        limiter, now, asked = CallRateLimiter(1000.0, 3), 0.0, []
         for gap in gaps:
             now += gap
-            asked.append(now + pace.wait_ms(now))
+            asked.append(now + limiter.wait_ms(now))
         self.assertEqual(asked, sorted(asked))
         for i, at in enumerate(asked[3:]):
-            self.assertGreaterEqual(at - asked[i], 1000.0 - 1e-6)  # three at once at most, one a second on
+            self.assertGreaterEqual(
+                at - asked[i], 1000.0 - 1e-6
+            )  # at most three at once, then one per second
 
-    def test_history_goes_back_only_for_what_went_back(self) -> None:
+    def test_the_index_decreases_only_after_a_restore(self) -> None:
         def view(index: int, **revisions: int) -> View:
             return View("", {key: Record(key, b"", at) for key, at in revisions.items()}, index)
 
         swept = next_view(view(30, a=10), view(10, a=10))
-        self.assertEqual(swept.index, 30)  # the trace of a deleted record went, nothing else
+        self.assertEqual(swept.index, 30)  # only a tombstone was removed
         for before, after in (
-            (view(20, a=10, b=20), view(10, a=10)),  # b is gone with its history
-            (view(20, a=20), view(40, a=10, b=40)),  # the index went on, a is older
+            (view(20, a=10, b=20), view(10, a=10)),  # a restore to a state before b
+            (view(20, a=20), view(40, a=10, b=40)),  # a restore, after which the index rose further
         ):
             self.assertLess(next_view(before, after).index, before.index)
         gone = next_view(view(20, a=10, b=20), view(25, a=10))
         self.assertEqual(gone.index, 25)  # b was deleted
 
 
-class ConsulForm(unittest.TestCase):
-    def test_steps_are_the_published_operations(self) -> None:
+class ConsulMessages(unittest.TestCase):
+    def test_steps_are_encoded_as_documented_operations(self) -> None:
         steps: list[Step] = [
             Put("a", b"v", None), Put("a", b"v", ABSENT), Put("a", b"v", 7), CheckRevision("a", ABSENT),
             CheckRevision("a", 7), CheckHolder("a", "s"), Lock("a", b"v", "s"), Unlock("a", b"v", "s"),
@@ -189,7 +191,7 @@
             ],
         )  # fmt: skip
 
-    def test_a_session_lives_by_its_time_alone(self) -> None:
+    def test_a_session_has_no_health_checks(self) -> None:
         self.assertEqual(
             json.loads(messages.encode_session("n1", 10000.0, 500.0)),
             {"Name": "n1", "TTL": "10s", "LockDelay": "0.5s", "Behavior": "release", "NodeChecks": []},
@@ -199,7 +201,7 @@
             [15000.0, 300.0, 0.0, 0.0],
         )
 
-    def test_what_an_answer_leaves_open(self) -> None:
+    def test_statuses_map_to_errors_that_tell_whether_a_write_may_be_applied(self) -> None:
         for status, text, write, read in (
             (409, '{"Errors":[{"OpIndex":0,"What":"stale"}]}', ConflictError, ConflictError),
             (409, "not JSON", ConflictError, ConflictError),
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: what each command loads, and what it says when it is asked wrongly."""
+"""The command line: which modules a command loads, and its errors for invalid arguments."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             [sys.executable, "-m", "lupinlink", *words], cwd=ROOT, capture_output=True, text=True, timeout=60
         )
 
-    def test_a_plain_serve_loads_this_and_no_more(self) -> None:
+    def test_serving_without_a_fleet_file_loads_these_modules_only(self) -> None:
         done = subprocess.run(
             [sys.executable, "-c", LOADED], cwd=ROOT, capture_output=True, text=True, timeout=60
         )
@@ -60,7 +60,7 @@
         self.assertEqual(ours, PLAIN)
         self.assertEqual(others, "")
 
-    def test_what_is_asked_wrongly_ends_with_two_and_says_why(self) -> None:
+    def test_invalid_arguments_exit_with_an_error_and_a_reason(self) -> None:
         for words, why in (
             (["serv"], "'serv' is no command"),
             (["lab", "run", "nosuch"], "no such scenario"),
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -1,4 +1,4 @@
-"""The fleet file: what it may hold, and the one line that is said of one that is wrong."""
+"""The fleet file: its valid content, and the one-line errors for invalid files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.proxy_process import ROOT
 
 
-class PartError(LupinError):
+class ComponentError(LupinError):
     code = "LL999"
 
 
@@ -26,8 +26,8 @@
     share: Annotated[float, Meta(gt=0.0, lt=1.0)] = 0.5
 
 
-class PartSettings(Struct, forbid_unknown_fields=True):
-    """As a part has them."""
+class ComponentSettings(Struct, forbid_unknown_fields=True):
+    """Settings as a component defines them."""
 
     count: Annotated[int, Meta(ge=1, le=9)] = 1
     names: tuple[Annotated[str, Meta(min_length=2)], ...] = ()
@@ -36,12 +36,14 @@
 
     def check(self) -> None:
         if self.count == 5:
-            raise PartError("count: 5 is never right; allowed: others")
+            raise ComponentError("count: 5 is never right; allowed: others")
 
 
 class FleetFileTest(unittest.TestCase):
     def read(self, text: str) -> Any:
-        with mock.patch.dict("lupinlink.config.fleet.COMPONENTS", {"release": f"{__name__}:PartSettings"}):
+        with mock.patch.dict(
+            "lupinlink.config.fleet.COMPONENTS", {"release": f"{__name__}:ComponentSettings"}
+        ):
             return read_fleet(tomllib.loads(text), "f.toml")
 
     def test_the_deployed_file_holds_every_key_at_its_default(self) -> None:
@@ -53,11 +55,11 @@
         self.assertEqual(raw["member"].keys(), set(MemberSettings.__struct_fields__))
         self.assertEqual(found.folder, str(path.parent))
 
-    def test_a_part_is_on_when_its_table_is_there(self) -> None:
+    def test_a_component_is_on_when_its_table_exists(self) -> None:
         self.assertEqual(dict(self.read("").parts), {})
         self.assertEqual(self.read("[release]\ncount = 3").parts["release"].count, 3)
 
-    def test_what_is_wrong_is_told_in_one_line(self) -> None:
+    def test_an_invalid_file_is_reported_in_one_line(self) -> None:
         for text, line in (
             ("[agreement]\nlease_s = 0.5", "f.toml: agreement.lease_s: Expected `float` >= 1.0; "
              "allowed: a number from 1 to 86400"),
@@ -89,12 +91,12 @@
                 self.assertTrue(str(caught.exception).startswith("f.toml: "))
                 self.assertEqual(caught.exception.line().count("\n"), 0)
 
-    def test_a_part_s_own_error_keeps_its_code(self) -> None:
-        with self.assertRaises(PartError) as caught:
+    def test_a_component_s_own_error_keeps_its_code(self) -> None:
+        with self.assertRaises(ComponentError) as caught:
             self.read("[release]\ncount = 5")
         self.assertEqual(str(caught.exception), "f.toml: release: count: 5 is never right; allowed: others")
 
-    def test_a_table_for_a_part_that_is_not_there_is_told(self) -> None:
+    def test_a_table_for_a_missing_component_is_reported(self) -> None:
         with (
             mock.patch.dict("lupinlink.config.fleet.COMPONENTS", {"quota": "lupinlink.nowhere:Settings"}),
             self.assertRaises(FleetComponentError) as caught,
@@ -102,7 +104,7 @@
             read_fleet({"quota": {}}, "f.toml")
         self.assertIn("f.toml: quota: ", str(caught.exception))
 
-    def test_a_file_that_cannot_be_read_is_told(self) -> None:
+    def test_an_unreadable_file_is_reported(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "f.toml"
             self.assertRaisesRegex(FleetFileUnreadableError, "f.toml: no such file", load_fleet, str(path))
--- a/tests/test_fleet_serve.py
+++ b/tests/test_fleet_serve.py
@@ -1,4 +1,4 @@
-"""serve with a fleet file and without one, as real processes against the stand-in agreement service."""
+"""The serve command with and without a fleet file, as real processes with the emulated agreement service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any, ClassVar
 
 from lupinlink.commands import serve
-from tests.agreements import StandIn
+from tests.agreements import ConsulStandIn
 from tests.proxy_process import WAIT, ApplicationServer, ProxyProcessTest, row
 
 
@@ -21,11 +21,11 @@
 
     @classmethod
     def tearDownClass(cls) -> None:
-        StandIn.end()
+        ConsulStandIn.end()
 
     def setUp(self) -> None:
         super().setUp()
-        self.service = StandIn()
+        self.service = ConsulStandIn()
         self.addCleanup(self.service.close)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -62,13 +62,13 @@
         connection.request("GET", "/control/fleet")
         return connection.getresponse().read().decode()
 
-    def test_a_plain_serve_loads_nothing_of_it(self) -> None:
+    def test_serving_without_a_fleet_file_loads_no_fleet_modules(self) -> None:
         self.serve(fleet=False)
         self.assertEqual(self.ask().read(), b"ok")
         self.assertEqual(self.stop(), 0)
         self.assertEqual(self.line("msg=loaded").rsplit("fleet=", 1)[1], "\n")
 
-    def test_a_process_that_is_killed_is_let_go_once_its_lease_has_ended(self) -> None:
+    def test_a_killed_process_is_unlocked_once_its_lease_has_ended(self) -> None:
         self.serve()
         self.assertEqual(self.joined(), {"name": "n1", "zone": "a", "version": "v7", "pool": ""})
         self.line("msg=joined")
@@ -79,7 +79,7 @@
         self.process.kill()
         self.service.until(self.prefix, lambda rows: "Session" not in rows[self.key])
 
-    def test_a_process_that_ends_in_order_leaves_no_record(self) -> None:
+    def test_a_process_that_stops_in_order_leaves_no_record(self) -> None:
         self.serve()
         self.joined()
         self.line("msg=joined")
@@ -88,7 +88,7 @@
         self.service.until(self.prefix, lambda rows: not rows)
         self.assertFalse(self.service.call("records", "GET")["sessions"])
 
-    def test_it_serves_without_the_agreement_service_and_joins_once_that_is_back(self) -> None:
+    def test_it_serves_without_the_agreement_service_and_joins_later(self) -> None:
         self.service.gone()
         self.serve()
         self.line("LL101")
@@ -97,7 +97,7 @@
         self.service.gone(False)
         self.joined()
 
-    def test_a_fleet_file_that_is_wrong_ends_the_start_with_one_line(self) -> None:
+    def test_an_invalid_fleet_file_ends_the_start_with_one_line(self) -> None:
         self.write("[agreement]\nlease = 3\n")
         config = self.fleet.with_name("config.json")
         config.write_text(json.dumps(self.config()))
@@ -108,7 +108,7 @@
         )
         self.assertRegex(told.getvalue(), line)
 
-    def test_alone_in_memory_it_agrees_with_itself(self) -> None:
+    def test_a_fleet_of_one_uses_the_service_in_memory(self) -> None:
         self.write('[agreement]\nform = "memory"\n')
         self.serve()
         self.line("msg=joined")
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -1,4 +1,4 @@
-"""One lead, whatever happens: leases, fences and campaigns over any order of events."""
+"""Leader election: at most one leader can write, over random sequences of faults."""
 
 from __future__ import annotations
 
@@ -17,52 +17,52 @@
 from lupinlink.coordination.memory import MemoryService
 from lupinlink.coordination.rate_limit import MAX_OWED_CALLS
 from lupinlink.lab.model.clock import VirtualClock
-from tests.fleet_members import KEY, TTL_MS, Candidate, Works
+from tests.fleet_members import KEY, TTL_MS, AcceptedWrites, Candidate
 
-WHO = st.integers(0, 2)
+CANDIDATES = st.integers(0, 2)
 
 
-class LeadMachine(RuleBasedStateMachine):
-    """Three candidates; each may stand still, be cut off, lose answers; the service may go back."""
+class LeaderElectionMachine(RuleBasedStateMachine):
+    """Three candidates that can be suspended, cut off or lose responses; the service can be restored."""
 
     @initialize(late=st.floats(1.0, 2.0), delay_ms=st.sampled_from([1.0, 1500.0]))
     def begin(self, late: float, delay_ms: float) -> None:
         self.clock = VirtualClock()
         self.service = MemoryService(self.clock, 1000.0, late, delay_ms)
-        self.works = Works(self.service)
+        self.accepted = AcceptedWrites(self.service)
         self.all = [Candidate(self.service, self.clock, i) for i in range(3)]
         self.saved = self.service.save()
-        self.ended: set[str] = set()  # leases that were ended by force
-        self.decided: dict[int, Callable[[], None]] = {}
+        self.ended: set[str] = set()  # leases that were ended by a fault, not by expiry
+        self.prepared: dict[int, Callable[[], None]] = {}
 
     @rule(ms=st.floats(1.0, 15000.0))
     def time(self, ms: float) -> None:
         self.clock.run(self.clock.now() + ms)
 
-    @rule(who=WHO)
-    def stand_still(self, who: int) -> None:
-        self.decided[who] = self.all[who].decide()
+    @rule(who=CANDIDATES)
+    def suspend(self, who: int) -> None:
+        self.prepared[who] = self.all[who].prepare_write()
         self.all[who].clock.stopped = True
 
-    @rule(who=WHO)
-    def go_on(self, who: int) -> None:
-        # Danger: what it does first, it does in the belief that it had when it was stopped.
-        self.decided.pop(who, lambda: None)()
-        self.all[who].clock.go_on()
+    @rule(who=CANDIDATES)
+    def resume(self, who: int) -> None:
+        # A resumed process first performs the write that it had prepared before it was suspended.
+        self.prepared.pop(who, lambda: None)()
+        self.all[who].clock.resume()
 
-    @rule(who=WHO, cut=st.booleans())
+    @rule(who=CANDIDATES, cut=st.booleans())
     def cut(self, who: int, cut: bool) -> None:
         self.all[who].transport.cut = cut
 
-    @rule(who=WHO, asks=st.integers(0, 2), answers=st.integers(0, 2))
-    def lose(self, who: int, asks: int, answers: int) -> None:
-        self.all[who].transport.lost_requests, self.all[who].transport.lost_responses = asks, answers
+    @rule(who=CANDIDATES, requests=st.integers(0, 2), responses=st.integers(0, 2))
+    def lose(self, who: int, requests: int, responses: int) -> None:
+        self.all[who].transport.lost_requests, self.all[who].transport.lost_responses = requests, responses
 
-    @rule(who=WHO)
+    @rule(who=CANDIDATES)
     def work(self, who: int) -> None:
-        self.all[who].decide()()
+        self.all[who].prepare_write()()
 
-    @rule(who=WHO)
+    @rule(who=CANDIDATES)
     def expire(self, who: int) -> None:
         lease = self.all[who].process_lease.lease
         if lease is not None:
@@ -78,36 +78,36 @@
     def restore(self) -> None:
         self.ended |= self.service.store.grants.keys() - self.saved.grants.keys()
         self.service.restore(self.saved)
-        self.works.fences.clear()
+        self.accepted.fences.clear()
 
     @rule()
     def heal(self) -> None:
-        """All goes well for long enough: one leads, under a fence that everybody obeys."""
+        """Without faults there is one leader after a while, under a fence that all processes accept."""
         for one in self.all:
             one.transport.cut, one.transport.lost_requests, one.transport.lost_responses = False, 0, 0
-            one.clock.go_on()
+            one.clock.resume()
         self.clock.run(self.clock.now() + 90000.0)
         leads = [one for one in self.all if one.lead.is_leader]
         assert len(leads) == 1
         assert all(one.lead.holder == leads[0].lead._name for one in self.all)
-        assert all(one.seen.admits(leads[0].lead.fence) for one in self.all)
-        before = len(self.works.fences)
-        leads[0].decide()()
+        assert all(one.highest_fence.admits(leads[0].lead.fence) for one in self.all)
+        before = len(self.accepted.fences)
+        leads[0].prepare_write()()
         self.clock.run(self.clock.now() + 2000.0)
-        assert self.works.fences[before:] == [leads[0].lead.fence]
+        assert self.accepted.fences[before:] == [leads[0].lead.fence]
 
     @invariant()
-    def work_is_accepted_under_fences_that_only_rise(self) -> None:
-        if hasattr(self, "works"):
-            assert self.works.fences == sorted(self.works.fences)
+    def writes_are_accepted_under_rising_fences_only(self) -> None:
+        if hasattr(self, "accepted"):
+            assert self.accepted.fences == sorted(self.accepted.fences)
 
     @invariant()
     def a_process_leads_under_fences_that_only_rise(self) -> None:
         for one in getattr(self, "all", ()):
-            assert one.became == sorted(set(one.became))
+            assert one.fences_led == sorted(set(one.fences_led))
 
     @invariant()
-    def a_lease_is_believed_no_longer_than_it_is_granted(self) -> None:
+    def a_lease_is_not_valid_longer_than_the_service_grants_it(self) -> None:
         for one in getattr(self, "all", ()):
             lease = one.process_lease.lease
             if lease is not None and lease.name not in self.ended:
@@ -115,28 +115,28 @@
                 assert lease.name in self.service.store.grants
 
 
-LeadMachine.TestCase.settings = settings(
+LeaderElectionMachine.TestCase.settings = settings(
     max_examples=25, stateful_step_count=40, deadline=None, derandomize=True,
     suppress_health_check=list(HealthCheck), phases=[Phase.generate],  # shrinking takes minutes
 )  # fmt: skip
-LeadTest = LeadMachine.TestCase
+LeaderElectionTest = LeaderElectionMachine.TestCase
 
 
-class LeadCases(unittest.TestCase):
+class LeaderElectionCases(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = VirtualClock()
         self.service = MemoryService(self.clock, 1000.0, late=1.5)
-        self.works = Works(self.service)
+        self.accepted = AcceptedWrites(self.service)
 
     def candidates(self, number: int) -> list[Candidate]:
         found = [Candidate(self.service, self.clock, i) for i in range(number)]
         self.clock.run(self.clock.now() + 20000.0)
         return found
 
-    def test_a_holder_that_stood_still_writes_nothing_more(self) -> None:
+    def test_a_leader_that_was_suspended_and_replaced_cannot_write(self) -> None:
         all_ = self.candidates(3)
         first = next(one for one in all_ if one.lead.is_leader)
-        write, fence = first.decide(), first.lead.fence
+        write, fence = first.prepare_write(), first.lead.fence
         first.clock.stopped = True
         self.clock.run(self.clock.now() + 4 * TTL_MS)
         second = next(one for one in all_ if one is not first and one.lead.is_leader)
@@ -144,13 +144,13 @@
         self.assertFalse(first.lead.is_leader)
         self.assertRaises(LeaseLostError, first.lead.guard)
         write()
-        first.clock.go_on()
+        first.clock.resume()
         self.clock.run(self.clock.now() + 100.0)
-        self.assertEqual((first.failed, self.works.fences, first.lost), (1, [], 1))
-        self.assertTrue(first.seen.admits(second.lead.fence))
-        self.assertFalse(first.seen.admits(fence))
+        self.assertEqual((first.failed_writes, self.accepted.fences, first.lost), (1, [], 1))
+        self.assertTrue(first.highest_fence.admits(second.lead.fence))
+        self.assertFalse(first.highest_fence.admits(fence))
 
-    def test_two_hundred_do_not_storm_when_the_holder_goes(self) -> None:
+    def test_of_two_hundred_candidates_few_try_when_the_leader_is_gone(self) -> None:
         all_ = self.candidates(200)
         first = next(one for one in all_ if one.lead.is_leader)
         before = sum(one.client.calls_by_kind.get("commit", 0) for one in all_)
@@ -162,24 +162,24 @@
         after = sum(one.client.calls_by_kind.get("commit", 0) for one in all_ if one is not first)
         self.assertLessEqual(after - before, 10)
 
-    def test_a_lead_that_is_let_go_is_taken_at_once(self) -> None:
+    def test_a_released_leadership_is_taken_without_lock_delay(self) -> None:
         all_ = self.candidates(2)
         first, second = sorted(all_, key=lambda one: not one.lead.is_leader)
         first.lead.stop()
-        self.clock.run(self.clock.now() + 2500.0)  # the spread, and no lock-delay
+        self.clock.run(self.clock.now() + 2500.0)  # the random wait without the lock-delay
         self.assertTrue(second.lead.is_leader and not first.lead.is_leader)
         self.assertEqual(first.lost, 0)
 
-    def test_a_fence_that_somebody_met_is_overtaken(self) -> None:
+    def test_a_leader_moves_above_a_higher_fence_that_another_process_has_seen(self) -> None:
         all_ = self.candidates(3)
         first = next(one for one in all_ if one.lead.is_leader)
         other = next(one for one in all_ if one is not first)
         other.lead.observe_fence(first.lead.fence + 7)  # as after a restore
         self.clock.run(self.clock.now() + 10000.0)
-        self.assertGreater(first.lead.fence, first.became[0] + 7)
-        self.assertEqual((first.lost, first.became[-1]), (0, first.lead.fence))
+        self.assertGreater(first.lead.fence, first.fences_led[0] + 7)
+        self.assertEqual((first.lost, first.fences_led[-1]), (0, first.lead.fence))
 
-    def test_a_lead_that_was_told_to_be_over_comes_back_under_a_higher_fence(self) -> None:
+    def test_a_leadership_that_ended_resumes_under_a_higher_fence(self) -> None:
         first = self.candidates(1)[0]
         saved = self.service.save()
         self.service.store.commit([Delete(KEY, None)], self.clock.now())
@@ -189,9 +189,9 @@
         self.service.restore(saved)
         self.clock.run(self.clock.now() + 500.0)
         self.assertTrue(first.lead.is_leader)
-        self.assertEqual(first.became, sorted(set(first.became)))
+        self.assertEqual(first.fences_led, sorted(set(first.fences_led)))
 
-    def test_records_that_change_all_the_time_are_asked_for_at_the_pace(self) -> None:
+    def test_records_that_change_all_the_time_are_queried_at_the_rate_limit(self) -> None:
         one = self.candidates(1)[0]
         for prefix in "abcde":
             one.client.watch(prefix, lambda view: None, lambda error: None)
@@ -208,12 +208,14 @@
         calls = one.client.calls - before
         self.assertLessEqual(calls, 100 + BURST + MAX_OWED_CALLS)
 
-    def test_a_campaign_decided_on_what_has_passed_fails(self) -> None:
+    def test_a_campaign_based_on_an_outdated_record_fails(self) -> None:
         service = MemoryService(self.clock, 0.0, delay_ms=500.0)
         one = Candidate(service, self.clock, 1)
         while not one.client.calls_by_kind.get("commit"):
             self.clock.run(self.clock.now() + 100.0)
-        name = service.store.open(TTL_MS, self.clock.now())  # another leads under the same fence, and goes
+        name = service.store.open(
+            TTL_MS, self.clock.now()
+        )  # another process leads under the same fence and leaves
         for step in (
             Lock(KEY, encode_fence(FenceRecord(1, "x")), name),
             Unlock(KEY, encode_fence(FenceRecord(1)), name),
@@ -221,28 +223,28 @@
             service.store.commit([step], self.clock.now())
         service.changed()
         self.clock.run(self.clock.now() + 20000.0)
-        self.assertEqual((one.became, one.lead.is_leader), ([2], True))
+        self.assertEqual((one.fences_led, one.lead.is_leader), ([2], True))
 
-    def test_answers_that_overtake_each_other_change_nothing(self) -> None:
+    def test_responses_out_of_order_change_nothing(self) -> None:
         first = self.candidates(1)[0]
         now = self.service.store.records[KEY]
-        first.lead._on_view(View(KEY, {}, 1, asked_ms=0.0))  # asked before it led, comes late
+        first.lead._on_view(View(KEY, {}, 1, asked_ms=0.0))  # queried before the election, delivered late
         first.lead._on_written({KEY: replace(now, revision=1, lease="older")}, None)
         self.assertEqual((first.lead.is_leader, first.lost), (True, 0))
 
-    def test_a_record_that_cannot_be_read_stops_no_campaign(self) -> None:
+    def test_an_unreadable_record_does_not_prevent_an_election(self) -> None:
         self.service.store.commit(
             [Put(KEY, b"\xff", None), Put("x", encode_fence(FenceRecord(3)), None)], 0.0
         )
         self.assertEqual(sum(one.lead.is_leader for one in self.candidates(2)), 1)
 
-    def test_the_answer_that_the_service_was_busy_changes_nothing(self) -> None:
+    def test_a_busy_service_does_not_change_the_leader(self) -> None:
         all_ = self.candidates(2)
-        before = [list(one.became) for one in all_]
+        before = [list(one.fences_led) for one in all_]
         for one in all_:
             one.transport.busy = True
         self.clock.run(self.clock.now() + 5000.0)
         for one in all_:
             one.transport.busy = False
         self.clock.run(self.clock.now() + 20000.0)
-        self.assertEqual([one.became for one in all_], before)
+        self.assertEqual([one.fences_led for one in all_], before)
--- a/tests/test_tenure.py
+++ b/tests/test_tenure.py
@@ -1,4 +1,4 @@
-"""A process's lease and what hangs on it: how long it is believed, its record, what is asked anew."""
+"""A process's lease and what depends on it: its validity, the registration, and queries after a restore."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 draw: Callable[[], float] = random.Random(1).random
 
 
-class Belief(unittest.TestCase):
+class LeaseValidity(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = VirtualClock()
         self.lost: list[LupinError] = []
@@ -37,7 +37,7 @@
         name = service.store.open(TTL_MS, self.clock.now())
         return RenewedLease(transport, clock, draw, name, TTL_MS, self.clock.now(), self.lost.append)
 
-    def test_slow_answers_do_not_draw_it_out(self) -> None:
+    def test_slow_responses_do_not_prolong_a_lease(self) -> None:
         service = MemoryService(self.clock, delay_ms=1500.0)
         transport = service.transport()
         lease = self.lease(service, transport, StoppableClock(self.clock))
@@ -49,29 +49,29 @@
             self.clock.run(self.clock.now() + 10.0)
         self.assertEqual([type(error) for error in self.lost], [LeaseLostError])
 
-    def test_a_process_that_stood_still_does_not_believe_for_a_moment(self) -> None:
+    def test_a_lease_is_invalid_at_once_after_a_long_suspension(self) -> None:
         service = MemoryService(self.clock)
         clock = StoppableClock(self.clock)
         lease = self.lease(service, service.transport(clock), clock)
         clock.stopped = True
         self.clock.run(2 * TTL_MS)
-        self.assertFalse(lease.holds())  # before anything else is run
-        clock.go_on()
+        self.assertFalse(lease.holds())  # before any timer runs
+        clock.resume()
         self.clock.run(3 * TTL_MS)
         self.assertEqual((len(self.lost), lease.name), (1, ""))
 
-    def test_a_short_stop_is_no_loss(self) -> None:
+    def test_a_short_suspension_does_not_lose_the_lease(self) -> None:
         service = MemoryService(self.clock, delay_ms=1500.0)
         clock = StoppableClock(self.clock)
         lease = self.lease(service, service.transport(clock), clock)
-        self.clock.run(3400.0)  # a renewal is on its way
+        self.clock.run(3400.0)  # a renewal is in flight
         clock.stopped = True
         self.clock.run(TTL_MS)
-        clock.go_on()  # its answer is read first, the end of the belief before it comes after
+        clock.resume()  # the response is read first, then the timer of the previous expiry runs
         self.assertTrue(lease.holds() and not self.lost)
 
 
-class Joined(unittest.TestCase):
+class Registration(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = VirtualClock()
         self.service = MemoryService(self.clock)
@@ -94,7 +94,7 @@
         record = self.service.store.records.get(PREFIX + "n1")
         return record.lease if record is not None else None
 
-    def test_a_successor_is_known_once_the_process_before_it_has_left(self) -> None:
+    def test_a_successor_registers_once_the_previous_process_has_left(self) -> None:
         old, _, _ = self.process()
         new, process_lease, _ = self.process()
         self.assertEqual((old.known, new.known), (True, False))
@@ -108,7 +108,7 @@
         self.run_for(10.0)
         self.assertIsNone(self.holder())
 
-    def test_one_that_was_cut_off_is_let_go_and_comes_back(self) -> None:
+    def test_a_process_that_was_cut_off_is_unlocked_and_registers_again(self) -> None:
         presence, process_lease, transport = self.process()
         transport.cut = True
         self.run_for(2 * TTL_MS)
@@ -120,8 +120,8 @@
         self.assertTrue(presence.known and self.holder())
 
 
-class Asked(unittest.TestCase):
-    def test_after_a_restore_it_asks_from_where_the_service_is(self) -> None:
+class QueryIndex(unittest.TestCase):
+    def test_after_a_restore_the_next_query_uses_the_service_s_lower_index(self) -> None:
         asked: list[int] = []
 
         class Transport(MemoryTransport):
