--- a/lupinlink/coordination/leader_election.py
+++ b/lupinlink/coordination/leader_election.py
@@ -46,9 +46,7 @@
 CAMPAIGN_SPREAD_MS = 2000.0  # the range of a candidate's random wait
 LOCK_DELAY_MS = 1000.0  # the service's, unless the caller gives it
 MAX_RETRY_MS = 5000.0  # longest wait after a failed attempt
-REPORTED_SUFFIX = (
-    "/met"  # after the key: where the highest fence stands that somebody met and the lead does not have
-)
+REPORTED = "/met"  # key suffix of the record in which a process reports a fence above the leader's
 
 
 class LeaderElection:
@@ -134,11 +132,7 @@
             own = self._record
             if record is None or own is None or record.revision < own.revision:
                 return  # queried before the election, so older than this process's own write
-        self._record, self._loaded, self._reported = (
-            record,
-            True,
-            view.records.get(self._key + REPORTED_SUFFIX),
-        )
+        self._record, self._loaded, self._reported = record, True, view.records.get(self._key + REPORTED)
         self._evaluate()
 
     def _evaluate(self) -> None:
@@ -206,7 +200,7 @@
     def _report_fence(self) -> None:
         value = encode_fence(FenceRecord(self._highest_fence.highest, self._name))
         revision = self._reported.revision if self._reported is not None else ABSENT
-        self._commit([Put(self._key + REPORTED_SUFFIX, value, revision)])
+        self._commit([Put(self._key + REPORTED, value, revision)])
 
     def _commit(self, steps: list[Step]) -> None:
         self._committing = True
--- a/lupinlink/coordination/memory.py
+++ b/lupinlink/coordination/memory.py
@@ -96,9 +96,7 @@
         self.cut = False  # calls of this process fail as unreachable
         self.busy = False  # calls fail as with status 429
         self.lost_responses = 0  # so many of the next commits are applied, but their responses lost
-        self.lost_requests = (
-            0  # so many of the next commits are lost before they arrive, which looks the same
-        )
+        self.lost_requests = 0  # so many of the next commits are lost on the way, which looks the same
 
     def read(self, prefix: str, index: int, wait_ms: float) -> Deferred[ReadResult]:
         service = self._service
