--- a/lupinlink/coordination/blocking_query.py
+++ b/lupinlink/coordination/blocking_query.py
@@ -57,24 +57,24 @@
         asked_ms = self._clock.now()
         # Without jitter, queries that one change answers together would also time out together from then on.
         wait_ms = self._wait_ms * (1.0 - WAIT_JITTER * self._draw())
-        found = self._transport.read(self._prefix, self._index, wait_ms)
-        found.addCallbacks(self._answered, self._failed, callbackArgs=(asked_ms,))
+        result = self._transport.read(self._prefix, self._index, wait_ms)
+        result.addCallbacks(self._on_result, self._on_failed, callbackArgs=(asked_ms,))
 
-    def _answered(self, found: ReadResult, asked_ms: float) -> None:
+    def _on_result(self, result: ReadResult, asked_ms: float) -> None:
         if self._stopped:
             return
         self._backoff.reset()
         # Not the highest index so far, since after a restore the service may never reach that again.
-        self._index = found.index
+        self._index = result.index
         before = self._last_view
-        self._last_view = next_view(before, View(self._prefix, found.records, found.index, asked_ms))
+        self._last_view = next_view(before, View(self._prefix, result.records, result.index, asked_ms))
         if before is not None and self._last_view.index < before.index:
             why = RestoredError(f"below {self._prefix}").line()
             log.warning("restored", extra={"kv": {"why": why}})
         self._schedule(self._draw() * REQUERY_SPREAD_MS)
         self._notify(self._on_view, self._last_view)
 
-    def _failed(self, failure: Failure) -> None:
+    def _on_failed(self, failure: Failure) -> None:
         if self._stopped:
             return
         self._index = 0  # so the next query returns at once with the current state
@@ -86,8 +86,8 @@
         self._notify(self._on_error, error)
 
     @staticmethod
-    def _notify(listener: Callable[[Any], None], what: View | LupinError) -> None:
+    def _notify(listener: Callable[[Any], None], value: View | LupinError) -> None:
         try:
-            listener(what)
+            listener(value)
         except Exception:
             log.exception("a listener of the agreement service's records failed")
--- a/lupinlink/coordination/client.py
+++ b/lupinlink/coordination/client.py
@@ -77,7 +77,7 @@
     def read(self, prefix: str) -> Deferred[View]:
         asked_ms = self._clock.now()
         return self._transport.read(prefix, 0, 0.0).addCallback(
-            lambda found: View(prefix, found.records, found.index, asked_ms)
+            lambda result: View(prefix, result.records, result.index, asked_ms)
         )
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
--- a/lupinlink/coordination/commit_validation.py
+++ b/lupinlink/coordination/commit_validation.py
@@ -35,9 +35,9 @@
     """
     if not steps:
         raise InvalidRequestError("a commit without steps")
-    operations = sum(map(operation_count, steps))
-    if operations > MAX_STEPS:
-        raise InvalidRequestError(f"a commit of {operations} operations; {MAX_STEPS} is the most")
+    total = sum(map(operation_count, steps))
+    if total > MAX_STEPS:
+        raise InvalidRequestError(f"a commit of {total} operations; {MAX_STEPS} is the most")
     for step in steps:
         if not step.key or step.key.startswith("/"):
             raise InvalidRequestError(f"{step.key!r} cannot be a record's key")
--- a/lupinlink/coordination/leader_election.py
+++ b/lupinlink/coordination/leader_election.py
@@ -106,7 +106,7 @@
 
     def start(self) -> None:
         """Watch the record and campaign whenever it is unlocked."""
-        self._process_lease.listen(lambda lease: self._evaluate(), self._step_down)
+        self._process_lease.subscribe(lambda lease: self._evaluate(), self._step_down)
         self._watch = self._agreement.watch(self._key, self._on_view, lambda error: None)
 
     def stop(self) -> None:
--- a/lupinlink/coordination/lease_renewal.py
+++ b/lupinlink/coordination/lease_renewal.py
@@ -68,8 +68,8 @@
         self._clock.drop(self._renew_call)
         return self._transport.close(name)
 
-    def _on_lease_lost(self, why: str) -> None:
-        error = LeaseLostError(why)
+    def _on_lease_lost(self, reason: str) -> None:
+        error = LeaseLostError(reason)
         # If only this process was suspended, others then need not wait until the service ends the lease.
         self._close().addErrback(lambda failure: None)
         self._on_lost(error)
@@ -81,9 +81,11 @@
 
     def _renew(self) -> None:
         asked_ms = self._clock.now()
-        self._transport.renew(self.name).addCallbacks(self._renewed, self._failed, callbackArgs=(asked_ms,))
+        self._transport.renew(self.name).addCallbacks(
+            self._on_renewed, self._on_failed, callbackArgs=(asked_ms,)
+        )
 
-    def _renewed(self, granted_ttl_ms: float, asked_ms: float) -> None:
+    def _on_renewed(self, granted_ttl_ms: float, asked_ms: float) -> None:
         if not self.name:
             return
         self._backoff.reset()
@@ -93,7 +95,7 @@
         self._expiry_call = self._clock.at(self._valid_until_ms, self._check_expiry)
         self._renew_call = self._clock.at(self._next_renewal_ms(asked_ms), self._renew)
 
-    def _failed(self, failure: Failure) -> None:
+    def _on_failed(self, failure: Failure) -> None:
         if not self.name:
             return
         if isinstance(failure.value, LeaseLostError):
--- a/lupinlink/coordination/memory.py
+++ b/lupinlink/coordination/memory.py
@@ -63,7 +63,7 @@
     def changed(self) -> None:
         """Answer the blocking queries that see a change, and schedule the next expiry of a lease."""
         self.store.expire(self.clock.now())
-        self._waiting = [ask for ask in self._waiting if not ask()]
+        self._waiting = [try_answer for try_answer in self._waiting if not try_answer()]
         self.plan()
 
     def plan(self) -> None:
@@ -83,9 +83,9 @@
             self._read[prefix] = self.store.read(prefix, now)
         return self._read[prefix]
 
-    def wait(self, ask: Callable[[], bool]) -> None:
-        """Call ``ask`` at each change until it returns True (it was answered)."""
-        self._waiting.append(ask)
+    def wait(self, try_answer: Callable[[], bool]) -> None:
+        """Call ``try_answer`` at each change until it returns True (it was answered)."""
+        self._waiting.append(try_answer)
 
 
 class MemoryTransport:
@@ -102,8 +102,8 @@
         service = self._service
         until = service.clock.now() + wait_ms
 
-        def arrive(result: Deferred[ReadResult]) -> None:
-            def ask() -> bool:
+        def on_arrival(result: Deferred[ReadResult]) -> None:
+            def try_answer() -> bool:
                 error = self._rejection()
                 records, now_index = service.read(prefix)
                 if error is not None:
@@ -114,11 +114,11 @@
                     return False
                 return True
 
-            if not ask():
-                service.wait(ask)
+            if not try_answer():
+                service.wait(try_answer)
                 service.clock.at(until, service.changed)
 
-        return self._send(arrive)
+        return self._send(on_arrival)
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
         if self.lost_requests:
@@ -127,7 +127,7 @@
         lost = self.lost_responses > 0
         self.lost_responses -= lost
 
-        def do() -> dict[str, Record]:
+        def operation() -> dict[str, Record]:
             try:
                 written = self._service.store.commit(steps, self._service.clock.now())
             except CoordinationError:
@@ -137,7 +137,7 @@
                 raise UncertainError("no answer came")
             return written
 
-        return self._call(do)
+        return self._call(operation)
 
     def open(self, ttl_ms: float) -> Deferred[str]:
         return self._call(lambda: self._service.store.open(ttl_ms, self._service.clock.now()))
@@ -153,31 +153,31 @@
             return UnreachableError("the service in memory is switched off")
         return BusyError("the service in memory is switched to busy") if self.busy else None
 
-    def _send(self, arrive: Callable[[Deferred[T]], None]) -> Deferred[T]:
+    def _send(self, on_arrival: Callable[[Deferred[T]], None]) -> Deferred[T]:
         result: Deferred[T] = Deferred()
 
-        def arrived() -> None:
+        def deliver() -> None:
             self._service.calls += 1
-            arrive(result)
+            on_arrival(result)
 
-        self._service.clock.after(self._service.delay_ms, arrived)
+        self._service.clock.after(self._service.delay_ms, deliver)
         return result
 
-    def _answer(self, result: Deferred[T], what: T) -> None:
-        self._clock.after(self._service.delay_ms, lambda: result.callback(what))
+    def _answer(self, result: Deferred[T], value: T) -> None:
+        self._clock.after(self._service.delay_ms, lambda: result.callback(value))
 
     def _fail(self, result: Deferred[T], error: CoordinationError) -> None:
         self._clock.after(self._service.delay_ms, lambda: result.errback(error))
 
-    def _call(self, do: Callable[[], T]) -> Deferred[T]:
-        def arrive(result: Deferred[T]) -> None:
+    def _call(self, operation: Callable[[], T]) -> Deferred[T]:
+        def on_arrival(result: Deferred[T]) -> None:
             error = self._rejection()
             if error is not None:
                 self._fail(result, error)
                 return
             before = self._service.store.index
             try:
-                self._answer(result, do())
+                self._answer(result, operation())
             except CoordinationError as exc:
                 self._fail(result, exc)
             if self._service.store.index != before:
@@ -185,4 +185,4 @@
             else:
                 self._service.plan()
 
-        return self._send(arrive)
+        return self._send(on_arrival)
--- a/lupinlink/coordination/presence.py
+++ b/lupinlink/coordination/presence.py
@@ -59,24 +59,24 @@
         self._backoff = Backoff(FIRST_RETRY_MS, MAX_RETRY_MS, draw)
         self._call = 0
         self._stopped = False
-        self.known = False  # whether the record is locked with the current lease
+        self.registered = False  # whether the record is locked with the current lease
 
     def start(self) -> None:
         """Register whenever there is a lease."""
-        self._process_lease.listen(lambda lease: self._register(), self._on_lost)
+        self._process_lease.subscribe(lambda lease: self._register(), self._on_lost)
 
     def stop(self) -> None:
         """Remove the record at once, so that a process of the same name can register."""
         self._stopped = True
         self._clock.drop(self._call)
         lease = self._process_lease.lease
-        if lease is not None and self.known:
+        if lease is not None and self.registered:
             steps: list[Step] = [CheckHolder(self._key, lease.name), Delete(self._key, None)]
             self._agreement.commit(steps).addErrback(lambda failure: None)
-        self.known = False
+        self.registered = False
 
     def _on_lost(self, error: LupinError) -> None:
-        self.known = False
+        self.registered = False
         self._clock.drop(self._call)
 
     def _register(self) -> None:
@@ -88,7 +88,7 @@
     def _on_registered(self, records: dict[str, Record], lease: Lease) -> None:
         if lease is self._process_lease.lease:
             self._backoff.reset()
-            self.known = not self._stopped
+            self.registered = not self._stopped
             log.info("joined", extra={"kv": {"member": self._member.name, "lease": lease.name}})
 
     def _on_refused(self, failure: Failure) -> None:
--- a/lupinlink/coordination/process_lease.py
+++ b/lupinlink/coordination/process_lease.py
@@ -34,18 +34,18 @@
         self._call = 0
         self._stopped = False
         self.failures = 0  # failed requests for a lease in a row
-        self.why = ""  # the last failure, as text
+        self.last_failure = ""  # the last failure, as text
 
     @property
     def lease(self) -> Lease | None:
         """The lease, while it is valid."""
         return self._lease if self._lease is not None and self._lease.holds() else None
 
-    def listen(self, gained: OnGained, lost: OnLost) -> None:
+    def subscribe(self, on_gained: OnGained, on_lost: OnLost) -> None:
         """Subscribe to each new lease and each loss; a present lease is reported at once."""
-        self._listeners.append((gained, lost))
+        self._listeners.append((on_gained, on_lost))
         if (lease := self.lease) is not None:
-            gained(lease)
+            on_gained(lease)
 
     def start(self) -> None:
         """Request a lease at a random time within ``FIRST_RETRY_MS``, which spreads a fleet's start."""
@@ -68,15 +68,15 @@
         self._backoff.reset()
         self.failures = 0
         self._lease = lease
-        for gained, _ in self._listeners:
-            gained(lease)
+        for on_gained, _ in self._listeners:
+            on_gained(lease)
 
     def _on_failed(self, failure: Failure) -> None:
         if self._stopped:
             return
-        self.failures, self.why = self.failures + 1, _describe(failure)
+        self.failures, self.last_failure = self.failures + 1, _describe(failure)
         if self.failures == 1:
-            log.warning("no lease", extra={"kv": {"why": self.why}})
+            log.warning("no lease", extra={"kv": {"why": self.last_failure}})
         self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._request)
 
     def _on_lost(self, error: LupinError) -> None:
@@ -84,8 +84,8 @@
             return
         self._lease = None
         self._call = self._clock.at(self._clock.now() + self._backoff.next_ms(), self._request)
-        for _, lost in self._listeners:
-            lost(error)
+        for _, on_lost in self._listeners:
+            on_lost(error)
 
 
 def _describe(failure: Failure) -> str:
--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -170,7 +170,7 @@
     def started(self, host: ExtensionHost) -> None:
         """The reactor runs."""
         self._context.begin(host)
-        self._process_lease.listen(lambda lease: None, self._on_lease_lost)
+        self._process_lease.subscribe(lambda lease: None, self._on_lease_lost)
         self._process_lease.start()
         self._presence.start()
         for part in self._context.parts.values():
@@ -228,8 +228,8 @@
             "agreement": where,
             "lease": held
             if lease or not self._process_lease.failures
-            else f"none: {self._process_lease.why}",
-            "joined": "yes" if self._presence.known else "no",
+            else f"none: {self._process_lease.last_failure}",
+            "joined": "yes" if self._presence.registered else "no",
             "calls": f"{self._agreement.calls} in {seconds:.0f} s, "
             f"{self._agreement.calls / seconds:.2f} a second ({kinds or 'none'})",
             "parts": ", ".join(self._context.parts) or "none",
--- a/lupinlink/quota/sharing/agent.py
+++ b/lupinlink/quota/sharing/agent.py
@@ -1,4 +1,4 @@
-"""A process's share in the fleet's quotas, carried over an ``Agreement``: a ``coordination.component.Component``.
+"""A process's share in the fleet's quotas, carried over an ``Agreement``; a fleet ``Component``.
 
 Calls to the service in steady state: an ask and the question that brings its answer each half of a slice's
 life; the lead reads all asks once a round and writes the answers, as many as fit into a commit.
--- a/tests/test_tenure.py
+++ b/tests/test_tenure.py
@@ -97,11 +97,11 @@
     def test_a_successor_registers_once_the_previous_process_has_left(self) -> None:
         old, _, _ = self.process()
         new, process_lease, _ = self.process()
-        self.assertEqual((old.known, new.known), (True, False))
+        self.assertEqual((old.registered, new.registered), (True, False))
         old.stop()
         self.run_for(15000.0)
         assert process_lease.lease is not None
-        self.assertEqual((new.known, self.holder()), (True, process_lease.lease.name))
+        self.assertEqual((new.registered, self.holder()), (True, process_lease.lease.name))
         record = self.service.store.records[PREFIX + "n1"]
         self.assertEqual((read_member(record.value), read_member(b"{")), (MEMBER, None))
         new.stop()
@@ -112,12 +112,12 @@
         presence, process_lease, transport = self.process()
         transport.cut = True
         self.run_for(2 * TTL_MS)
-        self.assertEqual((presence.known, self.holder(), process_lease.lease), (False, "", None))
+        self.assertEqual((presence.registered, self.holder(), process_lease.lease), (False, "", None))
         self.assertGreater(process_lease.failures, 0)
-        self.assertTrue(process_lease.why.startswith("LL101 "))
+        self.assertTrue(process_lease.last_failure.startswith("LL101 "))
         transport.cut = False
         self.run_for(25000.0)
-        self.assertTrue(presence.known and self.holder())
+        self.assertTrue(presence.registered and self.holder())
 
 
 class QueryIndex(unittest.TestCase):
