--- a/tests/discovery_calls.py
+++ b/tests/discovery_calls.py
@@ -84,14 +84,14 @@
         backends = self._discovery.backends
         if "watch=1" in target:
             return backends.since(self.where, int(target.rsplit("from=", 1)[1]))
-        return backends.whole(self.where)
+        return backends.full_list(self.where)
 
     def _respond(self, target: str, fault: Fault) -> None:
         if "watch=1" in target:
             self.link.put(HEAD)
             self._begin_watch(int(target.rsplit("from=", 1)[1]), fault)
             return
-        body = self._discovery.backends.text(self._discovery.backends.whole(self.where))
+        body = self._discovery.backends.text(self._discovery.backends.full_list(self.where))
         self.link.put(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
         if fault is Fault.ENDS:
             self.link.end()
@@ -99,7 +99,7 @@
             self._drip(body[: DRIPS - len(body)] if len(body) > DRIPS else body[:-1])
         elif fault is not Fault.HEAD_ONLY:
             self.link.put(body)
-            self._written(self._discovery.backends.whole(self.where))
+            self._written(self._discovery.backends.full_list(self.where))
 
     def _begin_watch(self, since: int, fault: Fault) -> None:
         if fault is Fault.ENDS:
--- a/tests/drain_discovery.py
+++ b/tests/drain_discovery.py
@@ -69,7 +69,7 @@
                 self.begin_watch(connection, int(request[0].partition("from=")[2].split()[0]))
                 break
             with self.shared.lock:
-                body = json.dumps(self.shared.whole()).encode()
+                body = json.dumps(self.shared.full_list()).encode()
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                 self.note(self.shared.drained_at)
         with suppress(OSError):
@@ -98,8 +98,8 @@
         if version == shared.rev:
             return
         rows = [row for rev, row in shared.changes if rev > version]
-        whole = self.form in (Form.WHOLE, Form.LONG)
-        update = shared.whole() if whole else listing(shared.rev, False, *rows)
+        full = self.form in (Form.WHOLE, Form.LONG)
+        update = shared.full_list() if full else listing(shared.rev, False, *rows)
         if self.form == Form.LONG:
             update["targets"] += [{**rows[0], "uid": f"filler-{i}"} for i in range(FILLER)]
         data = chunk(json.dumps(update, indent=2 if self.form == Form.INDENTED else None) + "\n")
@@ -114,7 +114,7 @@
         if self.form == Form.BROKEN:
             connection.sendall(b"no size\r\n")
         self.watches[connection] = shared.rev
-        self.note(shared.drained_at if whole else [row["uid"] for row in rows])
+        self.note(shared.drained_at if full else [row["uid"] for row in rows])
 
     def cut(self, connection: socket.socket, data: bytes) -> None:
         """Send the first bytes only, and reset the connection later."""
@@ -162,7 +162,7 @@
         self.frontends.append(DiscoveryFrontend(self))
         return self.frontends[-1]
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         return listing(self.rev, True, *(r for r in self.rows.values() if r["state"] == "in_service"))
 
     def drain(self, *uids: str) -> float:
--- a/tests/many_backends.py
+++ b/tests/many_backends.py
@@ -82,7 +82,7 @@
             while time.monotonic() < until:
                 with self.shared.lock:
                     self.shared.rev += 1
-                    data = chunk(json.dumps(self.shared.whole(), indent=indent) + "\n")
+                    data = chunk(json.dumps(self.shared.full_list(), indent=indent) + "\n")
                     for frontend in self.shared.frontends:
                         for connection in list(frontend.watches):
                             with suppress(OSError):
--- a/tests/simulated_backend_list.py
+++ b/tests/simulated_backend_list.py
@@ -41,16 +41,16 @@
         """Encode one object."""
         return (json.dumps(update, indent=2 if self._script.indented else None) + "\n").encode()
 
-    def whole(self, where: int) -> Entry:
+    def full_list(self, where: int) -> Entry:
         """Return the full list, with the version numbers of that address."""
         rows = [e for e in self._truth.values() if e["state"] == READY or not self._script.leaves_out]
         return {"rev": NUMBERED_FROM[where] + self.revision, "all": True, "targets": rows}
 
-    def since(self, where: int, version: int, whole: bool = False) -> Entry:
+    def since(self, where: int, version: int, full: bool = False) -> Entry:
         """Return what has changed since a version; the full list if that version is unknown."""
         revision = version - NUMBERED_FROM[where]
-        if whole or not 0 <= revision <= self.revision:
-            return self.whole(where)
+        if full or not 0 <= revision <= self.revision:
+            return self.full_list(where)
         names = [name for name, changed in self._changed.items() if changed > revision]
         rows = [self._truth.get(name) or self._left[name] for name in names]
         return {"rev": NUMBERED_FROM[where] + self.revision, "all": False, "targets": rows}
--- a/tests/simulated_discovery.py
+++ b/tests/simulated_discovery.py
@@ -19,7 +19,7 @@
     def __init__(self, script: Script, clock: VirtualClock, oracle: DrainOracle) -> None:
         self.script, self.clock, self._oracle = script, clock, oracle
         self.backends = SimulatedBackendList(script)
-        self.known = self._first = self.backends.whole(0)
+        self.known = self._first = self.backends.full_list(0)
         self.process: Process  # the process that makes the calls from now on
         self.quiet = False  # pushed lists: the agent answers with what it has, and gets no changes
         self.last_fault_at = 0.0
