--- a/lupinlink/net/application_servers/connection.py
+++ b/lupinlink/net/application_servers/connection.py
@@ -66,7 +66,7 @@
                 end.reply.length = int(length.partition(",")[0]) if length is not None else None
             self._finish(end, reuse=not self._parser.buffer and message.keeps_open())
         elif self._parser.started():
-            self._settle()
+            self._cancel_progress_timer()
             if self._is_streamable():
                 self._start_stream()
             else:
@@ -128,9 +128,9 @@
         """End the streamed answer. ``message``: holds its last bytes; None: it was cut off."""
         stream, self._stream = self._stream, None
         assert stream is not None
-        self._settle()
+        self._cancel_progress_timer()
         self.transport.bufferSize = READ_BYTES
-        self._rest(reuse)
+        self._release(reuse)
         if message is None:
             self._servers.counters["flows_broken"] += 1
             stream.on_error()
@@ -171,7 +171,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.pool.forget(self)
         self._servers.connections.remove(self.handle)
-        self._settle()
+        self._cancel_progress_timer()
         self._detach_body()
         # An answer without a length is complete only if its close was announced and orderly.
         message = self._parser.eof() if isinstance(reason.value, ConnectionDone) else None
--- a/lupinlink/net/application_servers/dialling.py
+++ b/lupinlink/net/application_servers/dialling.py
@@ -43,10 +43,10 @@
         connection.handle = self._servers.connections.add(connection)
         return connection
 
-    def made(self, connection: PooledConnection) -> None:
+    def connected(self, connection: PooledConnection) -> None:
         """The connection is established: send the attempt on it."""
         self.pool.record_dial(self._servers.clock.now() - self._began)
-        attempt = self._settle()
+        attempt = self._take_attempt()
         if attempt is None:
             connection.drop()
         else:
@@ -54,7 +54,7 @@
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
         self._servers.connections.remove(self.handle)
-        attempt = self._settle()
+        attempt = self._take_attempt()
         if attempt is not None:
             self._servers.counters["dials_failed"] += 1
             self.pool.record_dial(why=reason.getErrorMessage())
@@ -62,7 +62,7 @@
 
     def abandon(self) -> None:
         """Stop connecting: nobody waits for it any more."""
-        self._settle()
+        self._take_attempt()
         if self._connector is not None:
             with suppress(Exception):
                 self._connector.stopConnecting()
@@ -75,7 +75,7 @@
             self.pool.record_dial(why="too slow")
             attempt.end(AttemptResult(Status.UNREACHABLE))
 
-    def _settle(self) -> Attempt | None:
+    def _take_attempt(self) -> Attempt | None:
         attempt, self._attempt = self._attempt, None
         if self._timer is not None:
             self._timer.drop()
--- a/lupinlink/net/application_servers/sending.py
+++ b/lupinlink/net/application_servers/sending.py
@@ -28,7 +28,7 @@
 class ConnectionOpener(Protocol):
     """Is notified when the connection that it opened is established."""
 
-    def made(self, connection: PooledConnection) -> None: ...
+    def connected(self, connection: PooledConnection) -> None: ...
 
 
 @implementer(IPullProducer)
@@ -60,7 +60,7 @@
         self.transport.setTcpNoDelay(True)
         self.transport.bufferSize = READ_BYTES
         self.idle_since = self._servers.clock.now()
-        self._dial.made(self)
+        self._dial.connected(self)
 
     def carry(self, attempt: Attempt) -> None:
         """Send an attempt's request, after a last check that it may be sent.
@@ -107,7 +107,7 @@
     def _drop_unsent(self, attempt: Attempt) -> None:
         """End an attempt that may not be sent any more; its connection returns to the pool."""
         self._servers.counters["attempts_not_begun"] += 1
-        self._rest(reuse=True, used=False)
+        self._release(reuse=True, used=False)
         attempt.end(AttemptResult(Status.NOT_SENT))
 
     def _write_now(self) -> None:
@@ -159,7 +159,7 @@
         out = data
         if body.length is None:
             out = http1.chunk(data) + (http1.LAST_CHUNK if last else b"")
-        self._settle()
+        self._cancel_progress_timer()
         if out:
             self.transport.write(out)
             attempt = self._attempt
@@ -183,7 +183,7 @@
     def drop(self) -> None:
         """Close at once: Twisted alone would close it in the next loop iteration, after other writes."""
         self._attempt = None
-        self._settle()
+        self._cancel_progress_timer()
         self._detach_body()
         with suppress(OSError, AttributeError):
             self.transport.getHandle().shutdown(socket.SHUT_RDWR)
@@ -207,20 +207,20 @@
                 break
             self.transport.doRead()
 
-    def _settle(self) -> None:
+    def _cancel_progress_timer(self) -> None:
         if self._progress_timer is not None:
             self._progress_timer.drop()
             self._progress_timer = None
 
     def _finish(self, end: AttemptResult, reuse: bool) -> None:
-        self._settle()
+        self._cancel_progress_timer()
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
         attempt.connection = None
-        self._rest(reuse)
+        self._release(reuse)
         attempt.end(end)
 
-    def _rest(self, reuse: bool, used: bool = True) -> None:
+    def _release(self, reuse: bool, used: bool = True) -> None:
         """Return the connection to the pool, or close it."""
         self._resume()
         if reuse and self.pool.current:
--- a/lupinlink/net/clients/connection.py
+++ b/lupinlink/net/clients/connection.py
@@ -32,7 +32,7 @@
 class IncomingRequest:
     """A request whose body is being received."""
 
-    call: ClientRequest
+    request: ClientRequest
     progress: BodyProgress
 
 
@@ -50,16 +50,16 @@
     def ready(self) -> bool:
         """Whether a load balancer should send clients here."""
 
-    def read(self, message: http1.Message, path: str) -> ClientRequest:
+    def read_request(self, message: http1.Message, path: str) -> ClientRequest:
         """The request with this head; raises MessageError if it is not valid."""
 
     def set_phase(self, client: ClientConnection, phase: Phase | None, anew: bool = False) -> None:
         """Set a connection's phase, or restart it with ``anew``; None: the connection has ended."""
 
-    def keeps(self, client: ClientConnection) -> bool:
+    def keeps_open(self, client: ClientConnection) -> bool:
         """Whether a connection is kept open after its answer."""
 
-    def lost(self, client: ClientConnection) -> None:
+    def connection_lost(self, client: ClientConnection) -> None:
         """Note that a connection has ended."""
 
 
--- a/lupinlink/net/clients/listener.py
+++ b/lupinlink/net/clients/listener.py
@@ -40,7 +40,7 @@
 
 
 def queue_length(port: Port) -> int:
-    """The length of a listener's accept queue in the kernel; more than its capacity if it is unknown."""
+    """The length of a listener's accept queue in the kernel, never too low; above capacity if unknown."""
     if not waiting(port):
         return 0
     try:
@@ -80,7 +80,7 @@
         if clients.accept_queue.since is None:
             return
         if clients.counters["clients"] - before < most or not waiting(self):
-            clients.accept_queue_emptied()  # the accept queue is empty
+            clients.accept_queue_emptied()
 
 
 class Clients(ServerFactory):
@@ -105,7 +105,7 @@
         self.accept_paused = False  # all connections are busy: none is accepted
         self.accept_queue = QueueWait()
         self.budget = BodyBudget(0)  # for all request bodies
-        self.read = RequestReader(settings, self.budget).read
+        self.read_request = RequestReader(settings, self.budget).read
         table = self._table = ConnectionTable(cap, clock, counters)
         self.connections, self.phases, self.set_phase = table.connections, table.phases, table.set_phase
         self.streaming, self.uploading = table.streaming, table.uploading
@@ -122,7 +122,7 @@
         """How many more connections the limit allows."""
         return self.connections.capacity - len(self.connections)
 
-    def keeps(self, client: ClientConnection) -> bool:
+    def keeps_open(self, client: ClientConnection) -> bool:
         """Whether a connection is kept open after its answer.
 
         Not while others wait in the accept queue: kept connections could leave them there for good.
@@ -150,7 +150,7 @@
             self.listen()
         return client
 
-    def lost(self, client: ClientConnection) -> None:
+    def connection_lost(self, client: ClientConnection) -> None:
         """Note that a connection has ended."""
         self._table.forget(client)
         self._resume_accepting()
@@ -205,8 +205,8 @@
 
     def _sweep(self) -> None:
         if self._lifecycle.accepts():
-            # Without it, while a burst keeps the accept queue from being emptied, all new clients would count
-            # as having waited for an unknown time, and be refused.
+            # Without this, a burst that keeps the accept queue from running empty would make all new clients
+            # count as having waited for an unknown time, and be refused, for as long as it lasts.
             self._observe_queue()
         # While nothing is accepted no other client needs the room, and a close may cross a request.
         self._table.sweep(rests=self._lifecycle.accepts())
--- a/lupinlink/net/clients/requests.py
+++ b/lupinlink/net/clients/requests.py
@@ -18,7 +18,7 @@
 MAX_PIPELINED_BYTES = 8 * 1024  # of further requests behind the open one; clients send one at a time
 # Read and discarded of a connection that is closing, for clients that write everything before they read.
 MAX_DISCARDED_BYTES = 2 * http1.MAX_MESSAGE
-TOO_MANY = "too many requests sent ahead"
+TOO_MANY_PIPELINED = "too many requests sent ahead"
 
 
 class Http1ClientConnection(RespondingConnection):
@@ -48,28 +48,28 @@
             return
         if self._sent_too_much and not self._closing and self._stream is None:
             self._discarded = 0
-            self.reject(400, TOO_MANY)  # this ends the request that is open, too
+            self.reject(400, TOO_MANY_PIPELINED)  # this ends the request that is open, too
         else:
             self.transport.pauseProducing()
 
     def connectionLost(self, reason: Reason = connectionDone) -> None:
         self._closing = True
-        self._clients.lost(self)
+        self._clients.connection_lost(self)
         self._release_all()
 
     def _release_all(self) -> None:
         """Drop the open request, its body and its streamed answer."""
         incoming, self._incoming = self._incoming, None
-        request, self._request = self._request, None
+        handle, self._open_handle = self._open_handle, None
         stream, self._stream = self._stream, None
         self._clients.streaming.pop(self, None)
         self._clients.uploading.pop(self, None)
         owed, self._waiting = self._waiting, False
-        if owed and request is not None:
-            self._clients.proxy.client_left(request)
+        if owed and handle is not None:
+            self._clients.proxy.client_left(handle)
         if incoming is not None:
-            incoming.call.body.abort()
-            incoming.call.body.discard()
+            incoming.request.body.abort()
+            incoming.request.body.discard()
         if stream is not None:
             stream.stop()
 
@@ -80,7 +80,7 @@
             told = max(0, self._stream.length - self._stream.sent_bytes) + int(self._unread_by_client())
         elif self._stream is not None:
             untold = 1
-        body = self._incoming.call.body if self._incoming is not None else None
+        body = self._incoming.request.body if self._incoming is not None else None
         if body is not None and body.length is not None:
             told += max(0, body.length - body.end)
         elif body is not None:
@@ -99,7 +99,7 @@
                 message = self._parser.next()
                 ahead = message is not None and len(self._parser.buffer) > MAX_PIPELINED_BYTES
                 if self._sent_too_much or ahead:
-                    raise http1.MessageError(400, TOO_MANY)
+                    raise http1.MessageError(400, TOO_MANY_PIPELINED)
                 if message is None:
                     if self._parser.head is not None:
                         self._receive_body(self._parser.head)
@@ -137,36 +137,36 @@
             self._waiting = True
             self._answer(200 if ready else 503, [("Content-Type", "text/plain")], b"up\n" if ready else b"")
             return
-        call = self._read(message, path)
-        call.body.add(message.body)
-        call.body.finish()
-        self._submit(call)
+        request = self._read(message, path)
+        request.body.add(message.body)
+        request.body.finish()
+        self._submit(request)
 
     def _read(self, message: http1.Message, path: str) -> ClientRequest:
         """The request, with how long it may have waited; only the first one of a connection can have."""
-        call = self._clients.read(message, path)
-        call.address = self.address
-        call.waited_ms, self.waited_ms = self.waited_ms, 0.0
-        return call
+        request = self._clients.read_request(message, path)
+        request.address = self.address
+        request.waited_ms, self.waited_ms = self.waited_ms, 0.0
+        return request
 
     def _note_head(self, head: http1.Message) -> None:
         # An HTTP/1.0 client may rely on the close of the connection to find the end of its answer.
         self._keep_open = head.version == 1 and head.keeps_open()
         self._minor, self._head_request = head.version, head.method == "HEAD"
 
-    def _submit(self, call: ClientRequest) -> None:
+    def _submit(self, request: ClientRequest) -> None:
         """Submit a request to the proxy, unless its client has closed the connection already."""
-        if call.body.complete and self.has_left():
+        if request.body.complete and self.has_left():
             self._clients.counters["left_unheard"] += 1
             self._closing = True  # the close is read next
-            call.body.discard()
+            request.body.discard()
             return
-        self._waiting, self._request = True, None
-        request = self._clients.proxy.submit(call, self)
+        self._waiting, self._open_handle = True, None
+        handle = self._clients.proxy.submit(request, self)
         if self._waiting:
-            self._request = request
+            self._open_handle = handle
         else:
-            call.body.discard()
+            request.body.discard()
 
     def _receive_body(self, head: http1.Message) -> None:
         """Receive part of a body; submits the request once the body is too large to be buffered whole."""
@@ -174,13 +174,13 @@
         incoming = self._incoming
         if incoming is None:
             self._note_head(head)
-            call = self._read(head, head.target.partition("?")[0])
-            call.body.length = self._parser.length
-            incoming = self._incoming = IncomingRequest(call, BodyProgress(now))
-            call.body.on_room = lambda: self._resume_body(incoming)
+            request = self._read(head, head.target.partition("?")[0])
+            request.body.length = self._parser.length
+            incoming = self._incoming = IncomingRequest(request, BodyProgress(now))
+            request.body.on_room = lambda: self._resume_body(incoming)
             if (head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        body, data = incoming.call.body, self._parser.take_body()
+        body, data = incoming.request.body, self._parser.take_body()
         if data:
             incoming.progress.received(len(data), now)
             body.add(data)
@@ -192,7 +192,7 @@
                 self.has_requested = True
                 self._clients.set_phase(self, Phase.OPEN)
                 self._clients.uploading[self] = None
-                self._submit(incoming.call)
+                self._submit(incoming.request)
         if body.full and self._incoming is not None:
             incoming.progress.pause(now)
             self._set_reading("body", False)
@@ -208,9 +208,9 @@
         self._incoming = None
         self._clients.uploading.pop(self, None)
         self._set_reading("body", True)
-        incoming.call.body.add(data)
-        incoming.call.body.finish()
+        incoming.request.body.add(data)
+        incoming.request.body.finish()
         if not self._waiting:
-            self._submit(incoming.call)
-        elif self._request is not None:
-            self._clients.proxy.body_completed(self._request)
+            self._submit(incoming.request)
+        elif self._open_handle is not None:
+            self._clients.proxy.body_completed(self._open_handle)
--- a/lupinlink/net/clients/responses.py
+++ b/lupinlink/net/clients/responses.py
@@ -33,7 +33,7 @@
 
     def __init__(self, clients: ConnectionOwner) -> None:
         super().__init__(clients)
-        self._request: int | None = None  # the handle of the request that is open
+        self._open_handle: int | None = None  # the handle of the request that is open
         self._waiting = False  # a request is not answered yet, or its answer is being streamed
         self._stream: ResponseStream | None = None  # the answer that is being streamed
         self._chunked = False  # whether it is sent in chunks
@@ -78,10 +78,10 @@
     ) -> None:
         if not self._waiting:
             return
-        self._waiting, self._request = False, None
+        self._waiting, self._open_handle = False, None
         self._clients.counters[f"answers_{status}"] += 1
         uploading = self._incoming is not None
-        stay = self._keep_open and not uploading and self._clients.keeps(self)
+        stay = self._keep_open and not uploading and self._clients.keeps_open(self)
         if self._head_request:
             self.transport.write(http1.response_head(status, headers, length, close=not stay))
         else:
@@ -96,12 +96,12 @@
         if not self._waiting:
             stream.stop()
             return
-        self._request = None
+        self._open_handle = None
         self._clients.counters["answers_200"] += 1
         self._clients.streaming[self] = None
         length = stream.length if stream.length is not None else http1.CHUNKED if self._minor else None
         self._chunked = length == http1.CHUNKED
-        self._keep_open = self._keep_open and length is not None and self._clients.keeps(self)
+        self._keep_open = self._keep_open and length is not None and self._clients.keeps_open(self)
         self._stream = stream
         stream.on_data, stream.on_end, stream.on_error = self._stream_data, self._stream_ended, self.abort
         with suppress(OSError, AttributeError):
--- a/lupinlink/net/proxy.py
+++ b/lupinlink/net/proxy.py
@@ -1,7 +1,7 @@
 """Connects the decision module to the network: what happens becomes its events, its actions become I/O.
 
-Independent of any protocol and takes no decision. The client side submits a ClientRequest and gets one final
-answer through Responder; the application server side carries attempts. Another protocol adds its own two.
+Takes no decision and knows no protocol. A client side submits a ClientRequest and gets one final answer
+through Responder; an application server side carries attempts. Another protocol adds its own two sides.
 """
 
 from __future__ import annotations
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -36,15 +36,15 @@
     def test_a_request_on_a_new_connection_is_out_as_it_comes_up(self) -> None:
         servers: list[bytes] = []
 
-        made = Dial.made
+        connected = Dial.connected
 
         def up(dial: Dial, connection: Any) -> None:
-            made(dial, connection)
+            connected(dial, connection)
             accepted, _ = self.loop.listener.accept()
             self.addCleanup(accepted.close)
             servers.append(self.received_by(accepted))
 
-        with patch.object(Dial, "made", up):
+        with patch.object(Dial, "connected", up):
             self.loop.attempt(b"body")
             self.loop.iterate_until(lambda: servers)
         self.assertTrue(servers[0].endswith(b"body"))
