--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -98,7 +98,7 @@
         """Wait until data of the server has arrived, without reading it."""
         self.assertTrue(select.select([connection.transport.getHandle()], [], [], WAIT)[0])
 
-    def test_an_answer_that_is_here_goes_before_a_time_out_and_a_cancel(self) -> None:
+    def test_an_answer_that_has_arrived_precedes_a_time_out_and_a_cancel(self) -> None:
         server, connection = self.idle_connection()
         for status in (Status.TIMEOUT, Status.CANCELLED):
             attempt, ends = self.attempt()
@@ -127,7 +127,7 @@
         self.iterate_until(lambda: next_ends)
         self.assertEqual([end.status for end in ends + next_ends], [Status.OK, Status.OK])
 
-    def test_what_is_seen_but_cannot_be_read_holds_nothing_up(self) -> None:
+    def test_data_that_is_seen_but_cannot_be_read_does_not_loop(self) -> None:
         # Data that a peek sees may not be readable yet: the connection must not loop until it is.
         server, connection = self.idle_connection()
         attempt, ends = self.attempt()
@@ -137,7 +137,7 @@
         attempt.give_up(Status.TIMEOUT)
         self.assertEqual([end.status for end in ends], [Status.TIMEOUT])
 
-    def test_half_an_answer_is_given_up_and_its_end_is_on_the_wire_before_the_next(self) -> None:
+    def test_a_partial_answer_times_out_and_its_close_is_sent_before_the_next_request(self) -> None:
         server, connection = self.idle_connection()
         attempt, ends = self.attempt()
         self.receive_request(server)
@@ -151,7 +151,7 @@
         self.reactor.iterate(0)
         self.assertEqual(([end.status for end in ends], ended_there), ([Status.TIMEOUT], [b""]))
 
-    def test_late_bytes_or_an_end_before_the_look_let_no_request_meet_them(self) -> None:
+    def test_an_idle_connection_with_late_bytes_or_a_close_is_not_used(self) -> None:
         for cut in (OK, OK[:5], b""):
             server, connection = self.idle_connection()
             if cut:
--- a/tests/test_crossing_attempts.py
+++ b/tests/test_crossing_attempts.py
@@ -131,7 +131,7 @@
         **SlowDialTest.settings, "Limits": {**LIMITS, "Cancel": False, "DialTimeoutMs": 8000.0}
     }  # fmt: skip
 
-    def test_who_leaves_meanwhile_has_nothing_sent_also_where_no_attempt_may_be_cancelled(self) -> None:
+    def test_nothing_is_sent_for_a_client_that_left_meanwhile_even_without_cancelling(self) -> None:
         gated = self.peer(GatedServer())
         self.start(row("s-1", gated))
         client = self.client()
@@ -145,7 +145,7 @@
         self.assertEqual(gated.seen.get()[0].split()[1], "/look/next")
         self.assertEqual(gated.seen.qsize(), 0)
 
-    def test_an_end_that_waits_unread_lets_no_further_attempt_begin(self) -> None:
+    def test_an_unread_close_lets_no_further_attempt_begin(self) -> None:
         # Too many pipelined bytes stop the reading, so the close behind them is not seen.
         first, other = self.peer(ApplicationServer()), self.peer(ApplicationServer())
         turning = threading.Event()
--- a/tests/test_crossing_clients.py
+++ b/tests/test_crossing_clients.py
@@ -80,7 +80,7 @@
             self.assertEqual(self.gauges()["attempts"], before + 1)  # the other's
         self.assertEqual(self.gauges()["left_unheard"], 2)
 
-    def test_who_sent_too_much_ahead_and_left_gets_no_further_attempt(self) -> None:
+    def test_a_client_that_pipelined_too_much_and_left_gets_no_further_attempt(self) -> None:
         servers = [self.peer(GatedServer(NEVER_RAN)) for _ in range(2)]
         self.start(*(row(f"s-{i}", server) for i, server in enumerate(servers)))
         client = self.connect(HEAD + b"a\r\n\r\n")
@@ -93,7 +93,7 @@
         self.settle(requests_now=0)
         self.assertEqual(self.gauges()["attempts"], 1)
 
-    def test_who_sends_too_much_ahead_is_told_so_behind_its_answer(self) -> None:
+    def test_too_much_pipelining_is_rejected_after_the_open_answer(self) -> None:
         server = self.peer(GatedServer())
         self.start(row("s-1", server))
         client = self.connect(HEAD + b"a\r\n\r\n")
@@ -141,7 +141,7 @@
 
 
 class WaitingForServers(PausableProxyTest):
-    def test_what_waits_for_a_server_is_not_sent_on_for_a_client_that_has_left(self) -> None:
+    def test_a_request_that_waits_for_a_server_is_not_sent_once_its_client_has_left(self) -> None:
         server = self.peer(ApplicationServer())
         self.start()
         client = self.connect(HEAD + b"a\r\nX-Expires-In-Ms: 2000\r\n\r\n")
@@ -180,7 +180,7 @@
 class Evicting(PausableProxyTest):
     limits: ClassVar[dict[str, Any]] = {"cores": 1.0, "memory_mb": 32, "sockets": 128}
 
-    def test_who_made_room_leaves_its_descriptor_too(self) -> None:
+    def test_clients_that_are_evicted_free_their_descriptors(self) -> None:
         # A client that was answered 408 to make room kept its descriptor, beyond the limit on connections.
         server = self.peer(ApplicationServer())
         self.start(row("s-1", server))
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -37,7 +37,7 @@
             kill = min(longest, 3000.0) + 700.0
             self.assertTrue(STOP_IDLE_MS <= state.answer_all_ms < state.exit_ms < kill, longest)
 
-    def test_with_a_successor_rests_end_before_the_kill_too(self) -> None:
+    def test_with_a_successor_idle_connections_close_before_the_kill_too(self) -> None:
         state = Lifecycle(1000.0)
         state.serve()
         state.hand_over(0.0)
@@ -95,7 +95,7 @@
     def empty(self) -> None:
         self.listening.accept()[0].close()
 
-    def test_who_waits_there_is_taken_before_the_process_ends(self) -> None:
+    def test_connections_in_the_accept_queue_are_accepted_before_the_exit(self) -> None:
         self.lifecycle.stop(self.clock.now() - self.lifecycle.answer_all_ms)  # late enough to exit
         left = list[bool]()
         ClientDrain(cast(Any, self), lambda: left.append(True)).start()
@@ -104,7 +104,7 @@
         ClientDrain(cast(Any, self), lambda: left.append(True)).start()
         self.assertEqual(left, [True])
 
-    def test_a_crowd_makes_held_ones_of_new_clients_only_until_the_queue_is_seen_empty(self) -> None:
+    def test_while_accepting_is_paused_the_wait_is_unknown_only_until_the_queue_is_empty(self) -> None:
         self.clients.accept_paused = True  # the listener is not read
         self.clients._sweep()
         # Those that wait may have waited since before the start.
--- a/tests/test_held_by_front.py
+++ b/tests/test_held_by_front.py
@@ -49,7 +49,7 @@
             answers.append((time.monotonic() - sent, client.getresponse().status))
             return
 
-    def test_three_in_four_killed_refuse_what_was_held_in_time(self) -> None:
+    def test_proxies_after_a_kill_of_three_in_four_refuse_held_requests_in_time(self) -> None:
         self.silent = self.peer(ApplicationServer(None))
         ports = [free_port() for _ in range(4)]
         for process in self.serve(*ports)[1:]:  # three in four are killed at once
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -31,7 +31,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["add", "remove", "oldest"]), st.integers(0, 9)), max_size=60))
-def test_the_one_that_rests_longest_is_found(steps: list[tuple[str, int]]) -> None:
+def test_the_connection_that_is_idle_longest_is_found(steps: list[tuple[str, int]]) -> None:
     idle, plain = IdleConnections(), list[Connection]()
     for number, (step, value) in enumerate(steps):
         if step == "add":
--- a/tests/test_misbehaving_peers.py
+++ b/tests/test_misbehaving_peers.py
@@ -34,7 +34,7 @@
         self.assertEqual(got, [b"", b"HTTP/1.1 408", b"HTTP/1.1 408", b"HTTP/1.1 408"])
         self.assertEqual(self.ask().read(), b"ok")
 
-    def test_hundreds_that_say_nothing_do_not_crowd_out_a_client(self) -> None:
+    def test_hundreds_of_silent_clients_do_not_displace_a_client(self) -> None:
         # There is room for 57. It took too long when each new connection checked all others for one to close.
         silent = [self.connect() for _ in range(300)]
         began = time.monotonic()
@@ -44,7 +44,7 @@
         self.assertGreater(self.gauges()["made_room"], 200)
         del silent
 
-    def test_the_id_of_an_open_request_is_turned_away_and_its_owner_untouched(self) -> None:
+    def test_the_id_of_an_open_request_is_rejected_and_the_open_one_unaffected(self) -> None:
         # Application servers would take the second for a copy of the first.
         self.server.answer = lambda headers: None
         owner = self.connect(HEAD + b"mine\r\nX-Expires-In-Ms: 700\r\n\r\n")
@@ -112,7 +112,7 @@
             self.assertRegex(body, rb"^t\d+$")
             self.bodies.add(body)
 
-    def test_a_spoilt_answer_is_made_up_for_elsewhere_well_before_the_deadline(self) -> None:
+    def test_a_broken_answer_is_retried_elsewhere_well_before_the_deadline(self) -> None:
         self.bodies: set[bytes] = set()
         began = time.monotonic()
         for spoilt in (
@@ -129,7 +129,7 @@
             self.own(2)
         self.assertLess(time.monotonic() - began, 3.5)
 
-    def test_what_comes_ahead_of_an_answer_or_behind_it_is_not_taken_for_another(self) -> None:
+    def test_data_before_or_after_an_answer_is_not_taken_for_another_answer(self) -> None:
         self.bodies = set()
         early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n"
         second = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -56,7 +56,7 @@
             except http1.MessageError as exc:
                 self.assertIn(exc.status, http1.REASONS)
 
-    def test_what_an_answer_says(self) -> None:
+    def test_the_outcome_of_each_answer(self) -> None:
         def end(text: bytes) -> AttemptResult:
             parser = http1.ResponseParser()
             parser.feed(
@@ -238,7 +238,7 @@
         crossing.ended.callback(AttemptResult(Status.OK, Reply([], b"")))
         self.assertEqual(settled, ["t0.0"])
 
-    def test_what_the_module_leaves_open_is_ended(self) -> None:
+    def test_a_request_that_the_module_leaves_open_is_ended(self) -> None:
         handle = self.submit()
         with self.assertLogs("lupinlink.net.proxy"):
             self.proxy.end_all()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -59,7 +59,7 @@
         self.assertEqual(self.ask().read(), body)
         self.assertEqual(self.server.seen.qsize(), 1)
 
-    def test_a_connections_own_headers_end_at_the_proxy(self) -> None:
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
         # Connection options of a client must not reach the pooled connection to the server.
         head = b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: t\r\nConnection: close, X-Hop\r\n"
         self.assertTrue(self.raw(head + b"X-Hop: 1\r\nX-End: 1\r\n\r\n").endswith(b"ok"))
@@ -107,7 +107,7 @@
         self.server = self.peer(ApplicationServer())
         self.start(row("s-1", self.server))
 
-    def test_each_kind_is_told_and_none_reaches_an_application_server(self) -> None:
+    def test_each_kind_is_rejected_and_none_reaches_an_application_server(self) -> None:
         trace, key = b"X-Trace-Id: t\r\n", b"Idempotency-Key: k\r\n"
         cases = [
             (b"garbage\r\n\r\n", 400),
@@ -166,7 +166,7 @@
     def seen(self) -> int:
         return sum(s.seen.qsize() for s in self.servers)
 
-    def test_turned_away_is_sent_elsewhere(self) -> None:
+    def test_a_request_that_a_server_refuses_is_sent_elsewhere(self) -> None:
         self.say(NEVER_RAN)
         self.assertEqual(self.ask().read(), b"ok")
         self.assertEqual([s.seen.qsize() for s in self.servers], [1, 1])
@@ -206,7 +206,7 @@
         self.assertEqual(self.seen(), 0)
         self.line("out of reach")
 
-    def test_silence_is_answered_before_the_deadline_and_the_pass_given_up(self) -> None:
+    def test_a_silent_attempt_is_given_up_and_answered_before_the_deadline(self) -> None:
         for server in self.servers:
             server.answer = lambda headers: None
         began = time.monotonic()
@@ -215,7 +215,7 @@
         self.assertEqual((status, self.seen()), (504, 1))
         self.servers[0].met.get(timeout=WAIT).ends.get(timeout=WAIT)
 
-    def test_a_client_that_leaves_ends_its_pass(self) -> None:
+    def test_a_client_that_leaves_ends_its_attempt(self) -> None:
         for server in self.servers:
             server.answer = lambda headers: None
         client = self.client()
@@ -328,7 +328,7 @@
         self.tell(text[30:])
         self.until_on(self.new)
 
-    def test_a_restart_under_the_same_uid_voids_its_pool(self) -> None:
+    def test_a_restart_under_the_same_uid_replaces_its_pool(self) -> None:
         self.ask().read()
         self.tell(listing(42, False, row("s-1", self.new, boot_ms=int(time.time() * 1000) - 60000)))
         self.old.ends.get(timeout=WAIT)
@@ -435,7 +435,7 @@
         self.assertTrue(all(client.getresponse().status in (503, 504) for client in held))
         self.assertEqual([client.getresponse().status for client in late], [404] * 12)
 
-    def test_a_pass_beyond_the_cap_is_not_sent_and_its_request_refused_at_once(self) -> None:
+    def test_an_attempt_beyond_the_limit_is_not_sent_and_its_request_refused_at_once(self) -> None:
         server = self.peer(ApplicationServer(None))
         self.start(row("s-1", server))
         clients = [self.client() for _ in range(20)]
--- a/tests/test_queue_wait.py
+++ b/tests/test_queue_wait.py
@@ -12,14 +12,14 @@
     def setUp(self) -> None:
         self.queue = QueueWait()
 
-    def test_at_a_start_it_is_not_known_until_the_queue_is_seen_empty(self) -> None:
+    def test_at_the_start_the_wait_is_unknown_until_the_queue_is_empty(self) -> None:
         self.assertEqual(self.queue.waited_ms(10.0), math.inf)
         self.queue.observed(20.0, 0)
         self.assertEqual(self.queue.waited_ms(25.0), 5.0)
         self.queue.emptied()
         self.assertEqual(self.queue.waited_ms(30.0), 0.0)
 
-    def test_a_queue_that_is_never_empty_is_known_once_what_a_look_found_is_through(self) -> None:
+    def test_the_wait_is_known_once_all_connections_of_an_observation_are_accepted(self) -> None:
         self.queue.observed(100.0, 3)
         for _ in range(3):
             self.assertEqual(self.queue.waited_ms(140.0), math.inf)  # its wait is unknown
@@ -30,7 +30,7 @@
         self.queue.accepted()
         self.assertEqual(self.queue.waited_ms(230.0), 30.0)
 
-    def test_a_listener_that_is_left_forgets_the_look_before(self) -> None:
+    def test_an_observation_is_discarded_when_reading_stops(self) -> None:
         self.queue.observed(100.0, 1)
         self.queue.reading_stopped(110.0)
         self.queue.accepted()
--- a/tests/test_split_messages.py
+++ b/tests/test_split_messages.py
@@ -45,7 +45,7 @@
             self.assertEqual(message.body, b"")
 
     @given(st.lists(st.binary(min_size=1, max_size=90_000), max_size=12), st.data())
-    def test_a_body_is_read_as_it_came_and_the_budget_is_even_at_the_end(
+    def test_a_body_is_read_as_received_and_leaves_nothing_in_the_budget(
         self, pieces: list[bytes], data: st.DataObject
     ) -> None:
         budget = BodyBudget(400_000)
@@ -70,7 +70,7 @@
         body.discard()
         self.assertEqual(budget.held_bytes, 0)
 
-    def test_progress_is_a_rate_and_waiting_for_us_is_no_delay(self) -> None:
+    def test_progress_is_a_rate_and_a_paused_sender_is_not_late(self) -> None:
         body = BodyProgress(0.0)
         self.assertFalse(body.timed_out(GRACE_MS))
         self.assertTrue(body.timed_out(GRACE_MS + 1.0))  # nothing was received
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -69,7 +69,7 @@
         self.assertEqual((now["bytes_held"], now["attempts_committed"]), (0, 2))
         self.assertLess(now["resident_mb"], 64)
 
-    def test_who_does_not_read_holds_the_server_back_and_others_go_on(self) -> None:
+    def test_a_client_that_does_not_read_pauses_its_server_and_no_other(self) -> None:
         want = self.answers(32 * MB)
         slow = self.connect(b"GET /look/1 HTTP/1.1\r\nX-Trace-Id: s\r\nConnection: close\r\n\r\n")
         self.server.seen.get(timeout=WAIT)
@@ -110,7 +110,7 @@
         self.assertEqual(self.server.seen.qsize(), 0)
         self.settle(bytes_held=0, requests_now=0, server_connections_now=1)
 
-    def test_what_was_let_go_is_sent_no_second_time(self) -> None:
+    def test_a_body_whose_start_was_discarded_is_not_sent_again(self) -> None:
         self.server.answer = lambda headers: NEVER_RAN
         head = POST % b"n" + b"Content-Length: 2000000\r\nConnection: close\r\n\r\n"
         answer = self.raw(head + b"x" * 2_000_000)
@@ -118,7 +118,7 @@
         self.assertIn(b"Retry-After: 0.2", answer)
         self.assertEqual(self.server.seen.qsize(), 1)
 
-    def test_what_was_let_go_and_may_have_run_is_not_called_harmless(self) -> None:
+    def test_a_discarded_body_that_may_have_run_is_not_refused_as_safe_to_retry(self) -> None:
         for path in (b"/scan/1", b"/look/1"):  # also of a class that may be retried: a rejected one fails
             for status in (b"500", b"400"):
                 self.server.answer = (
@@ -131,7 +131,7 @@
                 )
         self.assertEqual(self.server.seen.qsize(), 4)
 
-    def test_what_is_held_whole_is_sent_again_elsewhere(self) -> None:
+    def test_a_body_that_is_buffered_whole_is_sent_again_elsewhere(self) -> None:
         other = self.peer(ApplicationServer())
         self.server.answer = lambda headers: NEVER_RAN
         self.discovery.watch().sendall(b"")  # the list stays; both are known to the next process
@@ -166,7 +166,7 @@
             thread.join(WAIT)
         self.assertEqual([c.recv(4096)[-2:] for c in connections], [b"ok", b"ok"])
 
-    def test_what_stops_getting_on_is_told_so_within_three_seconds(self) -> None:
+    def test_requests_that_stall_are_answered_within_three_seconds(self) -> None:
         began = time.monotonic()
         some = POST % b"f" + b"Content-Length: 900000\r\n\r\n"
         connections = [self.connect(some + b"x" * size) for size in (10, 60_000, 400_000)]
@@ -191,7 +191,7 @@
                 self.assertTrue(self.raw(data).endswith(b"\r\n\r\nok"))
                 self.assertEqual(self.server.seen.get(timeout=WAIT)[2], body)
 
-    def test_a_head_alone_and_what_is_expected(self) -> None:
+    def test_head_requests_and_100_continue(self) -> None:
         self.server.answer = lambda headers: b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"
         got = self.raw(b"HEAD /look/1 HTTP/1.1\r\nX-Trace-Id: t\r\nConnection: close\r\n\r\n")
         self.assertTrue(got.endswith(b"\r\n\r\n") and b"Content-Length: 70000" in got, got)
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -122,11 +122,11 @@
             server, ends = self.crossed(lambda server, late=late: server.sendall(late))  # type: ignore[misc]
             self.assertEqual((ends[0].status, self.end_of(server)), (Status.NOT_SENT, b""))
 
-    def test_being_turned_away_unseen_is_told_as_such(self) -> None:
+    def test_a_refusal_before_the_request_is_reported_as_one(self) -> None:
         server, ends = self.crossed(lambda server: server.sendall(NEVER_RAN))
         self.assertEqual((ends[0].status, self.end_of(server)), (Status.OVERLOADED, b""))
 
-    def test_what_is_only_announced_changes_nothing(self) -> None:
+    def test_informational_answers_change_nothing(self) -> None:
         server, connection = self.loop.idle_connection()
         server.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.loop.wait_for_data(connection)
