--- a/lupinlink/net/fleet_release.py
+++ b/lupinlink/net/fleet_release.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from lupinlink.coordination.part import DoorCalls, Member
+from lupinlink.coordination.component import AdminRoutes, Member
 from lupinlink.net.lifecycle import LifecycleState
 from lupinlink.release.agent import ReleaseAgent
 from lupinlink.release.presence import Listed
@@ -42,7 +42,7 @@
     def standby(self) -> bool:
         """Whether only migrations keep it out, and none has it serve: it counts neither as out nor in use."""
         migration = self._context.parts.get("migration")
-        return self._context.wishes.only("migration") and bool(getattr(migration, "standby", False))
+        return self._context.drain_reasons.only("migration") and bool(getattr(migration, "standby", False))
 
     def left(self) -> int:
         here = self._context.host.gauges()
@@ -83,10 +83,10 @@
         return [name for name in servers if name in held]
 
     def drain(self) -> None:
-        self._context.wishes.want(DRAIN_REASON, out=True)
+        self._context.drain_reasons.want(DRAIN_REASON, out=True)
 
     def in_service(self) -> bool:
-        return self._context.wishes.want(DRAIN_REASON, out=False)
+        return self._context.drain_reasons.want(DRAIN_REASON, out=False)
 
     def end(self, version: str) -> None:
         """The starter of the next process of this name reads the version from the log or the API."""
@@ -107,8 +107,8 @@
         self._served = self._served or self.out_for_migration()
         return super()._report()
 
-    def calls(self) -> DoorCalls:
-        return {**super().calls(), **self.drains()}
+    def admin_routes(self) -> AdminRoutes:
+        return {**super().admin_routes(), **self.drains()}
 
 
 def make(context: FleetContext, settings: ReleaseSettings) -> Release:
@@ -118,7 +118,7 @@
     part = Release(
         context.agreement,
         context.clock,
-        context.tenure,
+        context.process_lease,
         host,
         settings,
         context.draw,
@@ -126,6 +126,6 @@
         lock_delay_ms,
         context.run_id,
     )
-    part.out_for_migration = lambda: context.wishes.wants("migration")
+    part.out_for_migration = lambda: context.drain_reasons.wants("migration")
     context.use_lead(part.lead)
     return part
--- a/tests/test_settings_variants.py
+++ b/tests/test_settings_variants.py
@@ -26,11 +26,8 @@
 from tests.settings_variants import SETTINGS_VARIANTS
 
 ANSWER_SLACK_MS = 20.0  # by which an answer may exceed the client's deadline
-RATE, END_MS, MAX_IDLE_MS = (
-    60.0,
-    9000.0,
-    2000.0,
-)  # arrivals per second; duration; longest time without a served request
+# Arrivals per second; duration; longest time without a served request.
+RATE, END_MS, MAX_IDLE_MS = 60.0, 9000.0, 2000.0
 CALL_MS = 500.0  # discovery answers a call after this time, without changes
 
 
@@ -44,7 +41,7 @@
     answers: int = 0
 
 
-class Simulation:
+class SimulatedNode:
     """One node and its servers: one hangs, one is unreachable, one fails at times, the others serve."""
 
     def __init__(self, settings: Settings, zones: int, case: unittest.TestCase) -> None:
@@ -62,22 +59,22 @@
         now, number = 0.0, 0
         while now < END_MS:
             now += self.rng.expovariate(RATE) * 1000.0
-            self.until(now)
+            self.play_until(now)
             number += 1
             index = self.rng.randrange(len(self.settings.classes))
             cls = self.settings.classes[index]
-            patience = cls.deadline_ms * (1.0 if number % 20 else self.rng.random())
+            timeout_ms = cls.deadline_ms * (1.0 if number % 20 else self.rng.random())
             name = f"r{number}"
-            self.requests[name] = TrackedRequest(cls, now + patience)
+            self.requests[name] = TrackedRequest(cls, now + timeout_ms)
             tenant = self.rng.randrange(2) if self.settings.tenants else 0
             self.take(
-                self.harness.handle(api.Arrival(name, index, tenant, now + patience, key=f"k{number % 40}"))
+                self.harness.handle(api.Arrival(name, index, tenant, now + timeout_ms, key=f"k{number % 40}"))
             )
             self.case.assertLess(now - self.served_at, MAX_IDLE_MS + cls.deadline_ms, "nothing was served")
-        self.until(now + max(c.deadline_ms for c in self.settings.classes) + 100.0)
+        self.play_until(now + max(c.deadline_ms for c in self.settings.classes) + 100.0)
         self.case.assertEqual([n for n, tracked in self.requests.items() if tracked.answers != 1], [])
 
-    def until(self, time: float) -> None:
+    def play_until(self, time: float) -> None:
         """Play outcomes, timers and answers of discovery in the order of their times."""
         while True:
             timer = min(self.harness.timers)[0] if self.harness.timers else time + 1.0
@@ -152,17 +149,17 @@
             self.case.assertTrue(tracked.cls.scope == DedupScope.ALL or row.zone == before.zone)
             self.case.assertTrue(tracked.cls.scope != DedupScope.CELL or row.cell == before.cell)
         tracked.sent.append((action.endpoint, now, None))
-        took, status = tracked.cls.deadline_ms * 0.1 * self.rng.uniform(0.5, 2.0), Status.OK
+        latency_ms, status = tracked.cls.deadline_ms * 0.1 * self.rng.uniform(0.5, 2.0), Status.OK
         if action.endpoint == "a":
-            took, status = 1e9, Status.TIMEOUT  # hangs
+            latency_ms, status = 1e9, Status.TIMEOUT  # hangs
         elif action.endpoint == "b":
-            took, status = self.settings.dial_timeout_ms, Status.UNREACHABLE
+            latency_ms, status = self.settings.dial_timeout_ms, Status.UNREACHABLE
         elif action.endpoint == "c" and self.rng.random() < 0.3:
             status = self.rng.choice([Status.ERROR, Status.RESET, Status.OVERLOADED])
         left = min(action.timeout_ms or 1e9, tracked.deadline - now)
-        if took >= left:
-            took, status = left, Status.TIMEOUT
-        self.push(now + took, action.request_id, len(tracked.sent) - 1, status)
+        if latency_ms >= left:
+            latency_ms, status = left, Status.TIMEOUT
+        self.push(now + latency_ms, action.request_id, len(tracked.sent) - 1, status)
 
     def push(self, at: float, name: str, attempt: int, status: Status) -> None:
         heapq.heappush(self.due, (at, next(self.numbers), name, attempt, status))
@@ -173,24 +170,26 @@
         for name, settings in SETTINGS_VARIANTS.items():
             for zones in (1, 3):
                 with self.subTest(name, zones=zones):
-                    day = Simulation(settings, zones, self)
-                    day.play()
-                    served = day.outcomes["ok"] / sum(day.outcomes.values())
-                    self.assertGreater(served, 0.8, day.outcomes)
+                    node = SimulatedNode(settings, zones, self)
+                    node.play()
+                    served = node.outcomes["ok"] / sum(node.outcomes.values())
+                    self.assertGreater(served, 0.8, node.outcomes)
 
     def test_short_deadlines_are_not_refused_on_an_initial_estimate(self) -> None:
         """The first latency estimate is a guess; if nothing were sent, it would never improve."""
-        for aim in (2000.0, 9000.0, 60000.0):
-            harness = NodeHarness(Settings(classes=(RequestClass(aim, 60000.0, effect=Effect.SAFE),)), "ab")
+        for target_ms in (2000.0, 9000.0, 60000.0):
+            harness = NodeHarness(
+                Settings(classes=(RequestClass(target_ms, 60000.0, effect=Effect.SAFE),)), "ab"
+            )
             for i in range(200):
                 (out,) = sends(harness.ask(f"r{i}", left=300.0))
                 harness.advance_to(harness.now + 20.0)
                 harness.end(f"r{i}", Status.OK, out.endpoint)
 
     def test_a_target_latency_beyond_the_deadline_is_the_deadline(self) -> None:
-        for aim, wanted in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
-            read = read_settings({"Classes": [{"AimMs": aim, "HardLimitMs": 2000.0}]})
-            self.assertEqual(read.classes[0].target_latency_ms, wanted)
+        for target_ms, expected in ((9000.0, 2000.0), (None, 2000.0), (800.0, 800.0), (0.0, 1.0)):
+            read = read_settings({"Classes": [{"AimMs": target_ms, "HardLimitMs": 2000.0}]})
+            self.assertEqual(read.classes[0].target_latency_ms, expected)
 
 
 class TargetBeyondDeadline(ProxyProcessTest):
