--- a/lupinlink/net/fleet.py
+++ b/lupinlink/net/fleet.py
@@ -1,9 +1,9 @@
 """The fleet extension of one proxy; loaded only when a fleet file is given.
 
-It consists of parts (quota, release, migration), one for each table of the fleet file. All are made before
-the service, which then asks for their management calls; they start to act in ``started``. Each part has a
-module (``PART_MODULES``) whose ``make`` takes the ``FleetContext`` and the table's settings and returns a
-``Part``, which may implement ``AdmissionControl`` as well.
+It consists of components (quota, release, migration), one for each table of the fleet file. All are made
+before the service, which then asks for their management calls; they start to act in ``started``. Each has a
+module (``COMPONENT_MODULES``) whose ``make`` takes the ``FleetContext`` and the table's settings and returns
+a ``Component``, which may implement ``AdmissionControl`` as well.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     from lupinlink.settings import Config
 
 log = logging.getLogger(__name__)
-PART_MODULES = {  # by table of the fleet file
+COMPONENT_MODULES = {  # by table of the fleet file
     "release": "lupinlink.net.fleet_release",
     "quota": "lupinlink.net.fleet_quota",
     "migration": "lupinlink.net.fleet_migration",
@@ -47,21 +47,21 @@
 
 @runtime_checkable
 class AdmissionControl(Protocol):
-    """A part that may refuse calls; at most one part does."""
+    """A component that may refuse calls; at most one does."""
 
     def admits(self, call: ClientRequest) -> Refusal | None:
-        """As ``FleetSide.admits``."""
+        """As ``FleetExtension.admits``."""
         ...
 
     @property
     def settled(self) -> Callable[[ClientRequest], None] | None:
-        """As ``FleetSide.settled``."""
+        """As ``FleetExtension.settled``."""
         ...
 
 
 @dataclass(slots=True)
 class FleetContext:
-    """What the parts of the extension share."""
+    """What the components of the extension share."""
 
     agreement: Agreement
     clock: ReactorClock
@@ -70,59 +70,59 @@
     member: Member
     settings: AgreementSettings
     folder: str  # the folder of the fleet file
-    settings_by_table: Mapping[str, Any] = field(default_factory=dict)  # the settings of the parts
-    parts: dict[str, Component] = field(default_factory=dict)  # those made so far, by table
+    settings_by_table: Mapping[str, Any] = field(default_factory=dict)  # the settings of the components
+    components: dict[str, Component] = field(default_factory=dict)  # those made so far, by table
     run_id: str = ""  # random, identifies this process
     _host: ExtensionHost | None = None
-    _lead: LeaderElection | None = None
-    _lead_managed_by_part: bool = False  # a part starts and stops it
+    _leader_election: LeaderElection | None = None
+    _election_managed_by_component: bool = False  # a component starts and stops it
     _drain_reasons: DrainReasons | None = None
 
     @property
     def host(self) -> ExtensionHost:
-        """The service; available from ``Part.start`` on."""
+        """The service; available from ``Component.start`` on."""
         assert self._host is not None, "the service has not started"
         return self._host
 
     @property
     def drain_reasons(self) -> DrainReasons:
-        """The reasons to keep this proxy out of service; parts drain it, or end a drain, only by these."""
+        """The reasons to keep this proxy out of service; components drain it, or end a drain, by these."""
         if self._drain_reasons is None:
             self._drain_reasons = DrainReasons(self.host.drain, self.host.in_service)
         return self._drain_reasons
 
-    def lead(self) -> LeaderElection:
-        """The leadership that all parts share: its holder advances all plans of the fleet."""
-        if self._lead is None:
-            self._lead = LeaderElection(
+    def leader_election(self) -> LeaderElection:
+        """The leadership that all components share: its holder advances all plans of the fleet."""
+        if self._leader_election is None:
+            self._leader_election = LeaderElection(
                 self.agreement, self.clock, self.process_lease, "lead", self.member.name, self.draw,
                 lambda fence: log.info("leads", extra={"kv": {"fence": fence}}),
                 lambda error: log.warning("leads no more", extra={"kv": {"why": error.line()}}),
                 lock_delay_ms=self.settings.lock_delay_s * 1000.0,
             )  # fmt: skip
-        return self._lead
+        return self._leader_election
 
-    def use_lead(self, lead: LeaderElection) -> None:
-        """Share the leadership of a part, which starts and stops it."""
-        self._lead, self._lead_managed_by_part = lead, True
+    def use_leader_election(self, leader_election: LeaderElection) -> None:
+        """Share the leadership of a component, which starts and stops it."""
+        self._leader_election, self._election_managed_by_component = leader_election, True
 
     def begin(self, host: ExtensionHost) -> None:
-        """The service has started: set the host, and start the leadership unless a part does."""
+        """The service has started: set the host, and start the election unless a component does."""
         self._host = host
-        if self._lead is not None and not self._lead_managed_by_part:
-            self._lead.start()
+        if self._leader_election is not None and not self._election_managed_by_component:
+            self._leader_election.start()
 
     def stop(self) -> None:
         """The service is stopping."""
-        if self._lead is not None and not self._lead_managed_by_part:
-            self._lead.stop()
+        if self._leader_election is not None and not self._election_managed_by_component:
+            self._leader_election.stop()
 
 
 class Fleet:
     """Implements ``FleetExtension`` for one process."""
 
     def __init__(self, file: FleetFile, config: Config, reactor: Reactor, version: str) -> None:
-        """Raises FleetComponentError, and the errors that a part's ``make`` raises."""
+        """Raises FleetComponentError, and the errors that a component's ``make`` raises."""
         agreement, member = file.agreement, file.member
         zones, zone = config.settings.zones, config.settings.zone
         own_zone = zones[zone] if zone < len(zones) else str(zone)
@@ -141,8 +141,12 @@
         )  # fmt: skip
         self._presence = Presence(self._agreement, clock, self._process_lease, self._context.member, draw)
         for table, settings in file.parts.items():
-            self._context.parts[table] = self._make_part(table, settings)
-        controls = [part for part in self._context.parts.values() if isinstance(part, AdmissionControl)]
+            self._context.components[table] = self._make_component(table, settings)
+        controls = [
+            component
+            for component in self._context.components.values()
+            if isinstance(component, AdmissionControl)
+        ]
         self._admission = controls[0] if controls else None
 
     @staticmethod
@@ -160,12 +164,12 @@
         )
         return ConsulTransport(reactor, place)
 
-    def _make_part(self, table: str, settings: Any) -> Component:
+    def _make_component(self, table: str, settings: Any) -> Component:
         try:
-            part = import_module(PART_MODULES[table]).make(self._context, settings)
+            component = import_module(COMPONENT_MODULES[table]).make(self._context, settings)
         except ModuleNotFoundError as exc:
             raise FleetComponentError(f"{table}: {exc}") from exc
-        return cast(Component, part)
+        return cast(Component, component)
 
     def started(self, host: ExtensionHost) -> None:
         """The reactor runs."""
@@ -173,18 +177,18 @@
         self._process_lease.listen(lambda lease: None, self._on_lease_lost)
         self._process_lease.start()
         self._presence.start()
-        for part in self._context.parts.values():
-            part.start()
+        for component in self._context.components.values():
+            component.start()
         where = self._file.agreement.address if self._file.agreement.form == "consul" else "memory"
         log.info(
-            "fleet", extra={"kv": {"agreement": where, "parts": ",".join(self._context.parts) or "none"}}
+            "fleet", extra={"kv": {"agreement": where, "parts": ",".join(self._context.components) or "none"}}
         )
 
     def stopping(self) -> None:
         """This process is stopping. Last calls to the agreement service may be lost, but leases expire."""
-        for part in self._context.parts.values():
+        for component in self._context.components.values():
             try:
-                part.stop()
+                component.stop()
             except Exception:
                 log.exception("a part failed to stop")
         self._context.stop()
@@ -192,24 +196,24 @@
         self._process_lease.stop()
 
     def admin_routes(self) -> AdminRoutes:
-        """The calls of the parts, and one that shows this process's state at the agreement service."""
+        """The calls of the components, and one that shows this process's state at the agreement service."""
         table: dict[str, Mapping[str, Callable[[AdminRequest], AdminResponse]]] = {
             "/control/fleet": {"GET": self._show_state}
         }
-        for name, part in self._context.parts.items():
-            for path, methods in part.admin_routes().items():
+        for name, component in self._context.components.items():
+            for path, methods in component.admin_routes().items():
                 if path in table:
                     raise FleetComponentError(f"{name}: {path} is a call of another part")
                 table[path] = methods
         return table
 
     def admits(self, call: ClientRequest) -> Refusal | None:
-        """As decided by the part that controls admission, if there is one."""
+        """As decided by the component that controls admission, if there is one."""
         return self._admission.admits(call) if self._admission is not None else None
 
     @property
     def settled(self) -> Callable[[ClientRequest], None] | None:
-        """As needed by the part that controls admission, if there is one."""
+        """As needed by the component that controls admission, if there is one."""
         return self._admission.settled if self._admission is not None else None
 
     def _on_lease_lost(self, error: LupinError) -> None:
@@ -232,6 +236,6 @@
             "joined": "yes" if self._presence.known else "no",
             "calls": f"{self._agreement.calls} in {seconds:.0f} s, "
             f"{self._agreement.calls / seconds:.2f} a second ({kinds or 'none'})",
-            "parts": ", ".join(self._context.parts) or "none",
+            "parts": ", ".join(self._context.components) or "none",
         }
         return AdminResponse(200, "".join(f"{name:<10} {text}\n" for name, text in rows.items()))
--- a/lupinlink/net/fleet_migration.py
+++ b/lupinlink/net/fleet_migration.py
@@ -1,4 +1,4 @@
-"""Makes migrations a part of the fleet extension: their view of this proxy, and the shared leadership."""
+"""Makes migrations a component of the fleet extension: their view of this proxy, and their leadership."""
 
 from __future__ import annotations
 
@@ -52,7 +52,9 @@
 
 
 def make(context: FleetContext, settings: MigrationSettings) -> Migrations:
-    """Make the part; gates and bounds come from the release table, or its defaults if there is none."""
+    """Make the component; gates and bounds come from the release table, or its defaults if there is none."""
     release = context.settings_by_table.get("release") or ReleaseSettings()
     base = Base(context.agreement, context.clock, context.draw, "", context.run_id)
-    return Migrations(base, context.member, lambda: MigrationHost(context), context.lead(), settings, release)
+    return Migrations(
+        base, context.member, lambda: MigrationHost(context), context.leader_election(), settings, release
+    )
--- a/lupinlink/net/fleet_release.py
+++ b/lupinlink/net/fleet_release.py
@@ -1,4 +1,4 @@
-"""Makes releases a part of the fleet extension: their view of this proxy, and the calls to drain it."""
+"""Makes releases a component of the fleet extension: their view of this proxy, and the calls to drain it."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     def standby(self) -> bool:
         """Whether only migrations keep it out, and none has it serve: it counts neither as out nor in use."""
-        migration = self._context.parts.get("migration")
+        migration = self._context.components.get("migration")
         return self._context.drain_reasons.only("migration") and bool(getattr(migration, "standby", False))
 
     def left(self) -> int:
@@ -98,7 +98,7 @@
 
 
 class Release(ReleaseAgent):
-    """The release part; the service's own calls to drain and to serve again go through it, for a permit."""
+    """The release component; the service's own calls to drain and to serve again go through it."""
 
     out_for_migration: Callable[[], bool]  # whether migrations keep this proxy out of service
 
@@ -112,10 +112,10 @@
 
 
 def make(context: FleetContext, settings: ReleaseSettings) -> Release:
-    """Make the part; migrations share its leadership."""
+    """Make the component; migrations share its leadership."""
     lock_delay_ms = context.settings.lock_delay_s * 1000.0
     host = ReleaseHost(context)
-    part = Release(
+    component = Release(
         context.agreement,
         context.clock,
         context.process_lease,
@@ -126,6 +126,6 @@
         lock_delay_ms,
         context.run_id,
     )
-    part.out_for_migration = lambda: context.drain_reasons.wants("migration")
-    context.use_lead(part.lead)
-    return part
+    component.out_for_migration = lambda: context.drain_reasons.wants("migration")
+    context.use_leader_election(component.lead)
+    return component
