--- a/lupinlink/net/fleet_migration.py
+++ b/lupinlink/net/fleet_migration.py
@@ -1,4 +1,4 @@
-"""Makes migrations a component of the fleet extension: their view of this proxy, and their leadership."""
+"""Migrations as a component of the fleet extension: their view of this proxy, and the shared leadership."""
 
 from __future__ import annotations
 
--- a/lupinlink/net/fleet_release.py
+++ b/lupinlink/net/fleet_release.py
@@ -98,7 +98,7 @@
 
 
 class Release(ReleaseAgent):
-    """The release component; the service's own calls to drain and to serve again go through it."""
+    """The release component, which makes the service's own two calls to drain ask for a permit first."""
 
     out_for_migration: Callable[[], bool]  # whether migrations keep this proxy out of service
 
