--- a/lupinlink/commands/serve.py
+++ b/lupinlink/commands/serve.py
@@ -43,8 +43,8 @@
         load = partial(load_config, os.environ, args["--config"], reload=True)
         if not file:
             return serve(config, load)
-        found = load_fleet_extension(file, config)
-        return serve(config, load, found) if found is not None else 2
+        extension = load_fleet_extension(file, config)
+        return serve(config, load, extension) if extension is not None else 2
     except ValueError as exc:
         return report_input_error(exc)
 
--- a/lupinlink/coordination/consul.py
+++ b/lupinlink/coordination/consul.py
@@ -133,12 +133,12 @@
 
     async def _read(self, prefix: str, query: dict[str, str]) -> ReadResult:
         root = self._settings.prefix
-        answer = await self._request("GET", messages.kv_path(root + prefix), query=query)
-        if answer.status == 404:
-            return ReadResult({}, max(1, answer.index))
-        if answer.status != 200:
-            raise messages.error_from_response(answer.status, answer.body, writes=False)
-        return ReadResult(messages.decode_records(root, answer.body), max(1, answer.index))
+        response = await self._request("GET", messages.kv_path(root + prefix), query=query)
+        if response.status == 404:
+            return ReadResult({}, max(1, response.index))
+        if response.status != 200:
+            raise messages.error_from_response(response.status, response.body, writes=False)
+        return ReadResult(messages.decode_records(root, response.body), max(1, response.index))
 
     def commit(self, steps: Sequence[Step]) -> Deferred[dict[str, Record]]:
         return self._with_timeout(self._commit(steps), 0.0, writes=True)
@@ -146,10 +146,10 @@
     async def _commit(self, steps: Sequence[Step]) -> dict[str, Record]:
         validate_commit(steps)
         root = self._settings.prefix
-        answer = await self._request("PUT", "/v1/txn", messages.encode_transaction(root, steps))
-        if answer.status != 200:
-            raise messages.error_from_response(answer.status, answer.body, writes=True)
-        return messages.decode_written_records(root, steps, answer.body)
+        response = await self._request("PUT", "/v1/txn", messages.encode_transaction(root, steps))
+        if response.status != 200:
+            raise messages.error_from_response(response.status, response.body, writes=True)
+        return messages.decode_written_records(root, steps, response.body)
 
     def open(self, ttl_ms: float) -> Deferred[str]:
         return self._with_timeout(self._open(ttl_ms), 0.0, writes=False)
@@ -162,12 +162,12 @@
         return self._with_timeout(self._renew(lease), 0.0, writes=False)
 
     async def _renew(self, lease: str) -> float:
-        answer = await self._request("PUT", f"/v1/session/renew/{lease}", b"")
-        if answer.status == 404:
+        response = await self._request("PUT", f"/v1/session/renew/{lease}", b"")
+        if response.status == 404:
             raise LeaseLostError(f"the service knows no lease {lease}")
-        if answer.status != 200:
-            raise messages.error_from_response(answer.status, answer.body, writes=False)
-        return messages.decode_session_ttl_ms(answer.body)
+        if response.status != 200:
+            raise messages.error_from_response(response.status, response.body, writes=False)
+        return messages.decode_session_ttl_ms(response.body)
 
     def close(self, lease: str) -> Deferred[None]:
         return self._with_timeout(self._close(lease), 0.0, writes=False)
@@ -176,10 +176,10 @@
         await self._session(f"destroy/{lease}", b"")
 
     async def _session(self, call: str, body: bytes) -> bytes:
-        answer = await self._request("PUT", f"/v1/session/{call}", body)
-        if answer.status != 200:
-            raise messages.error_from_response(answer.status, answer.body, writes=False)
-        return answer.body
+        response = await self._request("PUT", f"/v1/session/{call}", body)
+        if response.status != 200:
+            raise messages.error_from_response(response.status, response.body, writes=False)
+        return response.body
 
     async def _request(
         self, method: str, path: str, data: bytes | None = None, query: dict[str, str] | None = None
--- a/lupinlink/coordination/consul_messages.py
+++ b/lupinlink/coordination/consul_messages.py
@@ -1,8 +1,7 @@
 """Encodes requests to Consul's HTTP API and decodes its responses. Performs no I/O.
 
 Covers the KV store, transactions, sessions and blocking queries as Consul's API documentation describes them.
-Statuses after which certainly nothing was written are told apart from those after which a write may have been
-applied.
+Statuses that prove that nothing was written are distinguished from those after which a write may be applied.
 """
 
 from __future__ import annotations
--- a/lupinlink/coordination/kv_store.py
+++ b/lupinlink/coordination/kv_store.py
@@ -40,7 +40,7 @@
 
     index: int
     records: dict[str, Record] = field(default_factory=dict)
-    grants: dict[str, LeaseState] = field(default_factory=dict)
+    leases: dict[str, LeaseState] = field(default_factory=dict)
 
 
 class KvStore:
@@ -50,7 +50,7 @@
         """``late``: in [1, 2]; without renewal a lease ends after this many times its time to live."""
         self.index = 1
         self.records: dict[str, Record] = {}
-        self.grants: dict[str, LeaseState] = {}
+        self.leases: dict[str, LeaseState] = {}
         self._lock_delay_ms, self._late = lock_delay_ms, late
         self._lock_delays: dict[str, float] = {}  # by key: until when the record cannot be locked
         self._deleted: dict[str, int] = {}  # by key: the revision at which the record was deleted
@@ -60,21 +60,21 @@
         """Create a lease and return its name, which is never used again, not even after a restore."""
         self._lease_count += 1
         name = f"lease-{self._lease_count}"
-        self.grants[name] = LeaseState(ttl_ms, now + ttl_ms * self._late)
+        self.leases[name] = LeaseState(ttl_ms, now + ttl_ms * self._late)
         return name
 
     def renew(self, name: str, now: float) -> float:
         """Renew a lease; returns its time to live. Raises LeaseLostError if there is no such lease."""
         self.expire(now)
-        grant = self.grants.get(name)
-        if grant is None:
+        state = self.leases.get(name)
+        if state is None:
             raise LeaseLostError(f"no lease {name}")
-        self.grants[name] = replace(grant, ends_ms=now + grant.ttl_ms * self._late)
-        return grant.ttl_ms
+        self.leases[name] = replace(state, ends_ms=now + state.ttl_ms * self._late)
+        return state.ttl_ms
 
     def end(self, name: str, now: float) -> None:
         """End a lease; the lock-delay applies whether it was released or has expired."""
-        if self.grants.pop(name, None) is None:
+        if self.leases.pop(name, None) is None:
             return
         held = [record for record in self.records.values() if record.lease == name]
         if held:
@@ -85,12 +85,12 @@
 
     def expire(self, now: float) -> None:
         """End the leases that were not renewed in time."""
-        for name in [name for name, grant in self.grants.items() if grant.ends_ms <= now]:
+        for name in [name for name, state in self.leases.items() if state.ends_ms <= now]:
             self.end(name, now)
 
     def next_end(self) -> float | None:
         """When the next lease ends unless it is renewed."""
-        return min((grant.ends_ms for grant in self.grants.values()), default=None)
+        return min((state.ends_ms for state in self.leases.values()), default=None)
 
     def read(self, prefix: str, now: float) -> tuple[dict[str, Record], int]:
         """Return the records below a prefix by key, and the index of their latest change."""
@@ -130,23 +130,23 @@
         holder = before.lease if before else ""
         match step:
             case CheckRevision(key, wanted):
-                self._require(revision == wanted, f"{key} stands at {revision}, not {wanted}")
+                self._require(revision == wanted, f"{key} is at revision {revision}, not {wanted}")
                 return before
             case CheckHolder(key, lease):
                 self._require(holder == lease != "", f"{key} is not held by {lease}")
                 return before
             case Delete(key, wanted):
                 self._require(
-                    wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}"
+                    wanted is None or revision == wanted, f"{key} is at revision {revision}, not {wanted}"
                 )
                 return None
             case Put(key, value, wanted):
                 self._require(
-                    wanted is None or revision == wanted, f"{key} stands at {revision}, not {wanted}"
+                    wanted is None or revision == wanted, f"{key} is at revision {revision}, not {wanted}"
                 )
                 return self._written(key, value, before, holder)
             case Lock(key, value, lease):
-                self._require(lease in self.grants, f"there is no lease {lease}")
+                self._require(lease in self.leases, f"there is no lease {lease}")
                 self._require(holder in ("", lease), f"{key} is held by another")
                 self._require(holder == lease or self._lock_delays.get(key, now) <= now, f"{key}: lock-delay")
                 return self._written(key, value, before, lease)
@@ -169,14 +169,14 @@
 
     def save(self) -> StoreSnapshot:
         """Save the current state."""
-        return StoreSnapshot(self.index, dict(self.records), dict(self.grants))
+        return StoreSnapshot(self.index, dict(self.records), dict(self.leases))
 
     def restore(self, saved: StoreSnapshot, now: float) -> None:
         """Restore records, leases (as if just renewed) and the index, which then counts on from there."""
         self.index, self.records = saved.index, dict(saved.records)
-        self.grants = {
-            name: replace(grant, ends_ms=now + grant.ttl_ms * self._late)
-            for name, grant in saved.grants.items()
+        self.leases = {
+            name: replace(state, ends_ms=now + state.ttl_ms * self._late)
+            for name, state in saved.leases.items()
         }
         self._deleted.clear()
         self._lock_delays.clear()
--- a/lupinlink/coordination/presence.py
+++ b/lupinlink/coordination/presence.py
@@ -25,12 +25,12 @@
 FIRST_RETRY_MS, MAX_RETRY_MS = 1000.0, 10000.0  # while a previous process still holds the record
 
 
-def member_record(member: Member) -> bytes:
+def encode_member(member: Member) -> bytes:
     """Encode a member as its record's value."""
     return msgspec.json.encode(member)
 
 
-def read_member(value: bytes) -> Member | None:
+def decode_member(value: bytes) -> Member | None:
     """Decode a record's value; None if it is not readable."""
     try:
         return msgspec.json.decode(value, type=Member)
@@ -55,7 +55,7 @@
             process_lease,
             member,
         )
-        self._key, self._value = PREFIX + member.name, member_record(member)
+        self._key, self._value = PREFIX + member.name, encode_member(member)
         self._backoff = Backoff(FIRST_RETRY_MS, MAX_RETRY_MS, draw)
         self._call = 0
         self._stopped = False
@@ -82,8 +82,8 @@
     def _register(self) -> None:
         lease = self._process_lease.lease
         if lease is not None and not self._stopped:
-            taken = self._agreement.commit([Lock(self._key, self._value, lease.name)])
-            taken.addCallbacks(self._on_registered, self._on_refused, callbackArgs=(lease,))
+            locking = self._agreement.commit([Lock(self._key, self._value, lease.name)])
+            locking.addCallbacks(self._on_registered, self._on_refused, callbackArgs=(lease,))
 
     def _on_registered(self, records: dict[str, Record], lease: Lease) -> None:
         if lease is self._process_lease.lease:
--- a/tests/release_world.py
+++ b/tests/release_world.py
@@ -111,7 +111,7 @@
 
     def take_lead(self, leader: Leader) -> None:
         """The service ends the other's lease, who may not know it, and this one takes the record."""
-        for lease in list(self.store.grants):
+        for lease in list(self.store.leases):
             self.store.end(lease, self.now)
         leader.lease = self.store.open(1e12, self.now)
         self.fences += 1
--- a/tests/test_agreement_parts.py
+++ b/tests/test_agreement_parts.py
@@ -76,7 +76,7 @@
                 self.store.renew(name, self.now)
                 self.renewed[name] = self.now
             except LeaseLostError:
-                assert name not in self.store.grants
+                assert name not in self.store.leases
 
     @rule(key=KEYS, number=st.integers(0, 9), value=st.binary(max_size=1))
     def lock(self, key: str, number: int, value: bytes) -> None:
@@ -87,7 +87,7 @@
             except ConflictError:
                 continue
             assert before is None or before.lease in ("", name)
-            assert after.lease == name in self.store.grants
+            assert after.lease == name in self.store.leases
             if before is None or before.lease != name:
                 assert self.now >= self.unlocked_at.get(key, -DELAY_MS) + DELAY_MS
                 assert after.lock_count == (before.lock_count if before else 0) + 1
@@ -116,7 +116,7 @@
         if hasattr(self, "store"):
             assert self.store.index >= self.index
             self.index = self.store.index
-            assert {r.lease for r in self.store.records.values()} <= {"", *self.store.grants}
+            assert {r.lease for r in self.store.records.values()} <= {"", *self.store.leases}
             assert all(record.revision <= self.index for record in self.store.records.values())
 
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -22,7 +22,7 @@
 others = {"numpy", "msgspec", "matplotlib", "hdrh", "treq", "lark", "aiohttp"}
 print(*sorted(others & {n.split(".")[0] for n in sys.modules}))
 """
-PLAIN = (
+MODULES_WITHOUT_FLEET = (
     "brain brain.admission brain.balancer brain.concurrency brain.discovery_answers brain.discovery_node "
     "brain.discovery_outage brain.discovery_schedule brain.discovery_times brain.dispatching brain.health "
     "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection brain.server_subset "
@@ -57,7 +57,7 @@
         )
         self.assertEqual(done.returncode, 0, done.stderr)
         ours, others = done.stdout.split("\n")[:2]
-        self.assertEqual(ours, PLAIN)
+        self.assertEqual(ours, MODULES_WITHOUT_FLEET)
         self.assertEqual(others, "")
 
     def test_invalid_arguments_exit_with_an_error_and_a_reason(self) -> None:
--- a/tests/test_fleet_serve.py
+++ b/tests/test_fleet_serve.py
@@ -72,9 +72,9 @@
         self.serve()
         self.assertEqual(self.joined(), {"name": "n1", "zone": "a", "version": "v7", "pool": ""})
         self.line("msg=joined")
-        told = self.state()
-        self.assertIn("joined     yes\n", told)
-        self.assertRegex(told, r"lease      held, believed for \d\.\d s more\n")
+        output = self.state()
+        self.assertIn("joined     yes\n", output)
+        self.assertRegex(output, r"lease      held, believed for \d\.\d s more\n")
         self.assertEqual(self.ask().read(), b"ok")
         self.process.kill()
         self.service.until(self.prefix, lambda rows: "Session" not in rows[self.key])
@@ -101,12 +101,12 @@
         self.write("[agreement]\nlease = 3\n")
         config = self.fleet.with_name("config.json")
         config.write_text(json.dumps(self.config()))
-        with redirect_stderr(StringIO()) as told:
+        with redirect_stderr(StringIO()) as output:
             self.assertEqual(serve.main(["serve", f"--config={config}", f"--fleet={self.fleet}"]), 2)
         line = (
             r"^lupinlink: LL501 [^\n]*/fleet.toml: agreement.lease: there is no such key; allowed: [^\n]*\n$"
         )
-        self.assertRegex(told.getvalue(), line)
+        self.assertRegex(output.getvalue(), line)
 
     def test_a_fleet_of_one_uses_the_service_in_memory(self) -> None:
         self.write('[agreement]\nform = "memory"\n')
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -76,7 +76,7 @@
     @precondition(lambda self: self.service.store.index > self.saved.index)
     @rule()
     def restore(self) -> None:
-        self.ended |= self.service.store.grants.keys() - self.saved.grants.keys()
+        self.ended |= self.service.store.leases.keys() - self.saved.leases.keys()
         self.service.restore(self.saved)
         self.accepted.fences.clear()
 
@@ -112,7 +112,7 @@
             lease = one.process_lease.lease
             if lease is not None and lease.name not in self.ended:
                 self.service.store.expire(self.clock.now())
-                assert lease.name in self.service.store.grants
+                assert lease.name in self.service.store.leases
 
 
 LeaderElectionMachine.TestCase.settings = settings(
--- a/tests/test_tenure.py
+++ b/tests/test_tenure.py
@@ -14,7 +14,7 @@
 from lupinlink.coordination.errors import LeaseLostError
 from lupinlink.coordination.lease_renewal import RenewedLease
 from lupinlink.coordination.memory import MemoryService, MemoryTransport
-from lupinlink.coordination.presence import PREFIX, Presence, read_member
+from lupinlink.coordination.presence import PREFIX, Presence, decode_member
 from lupinlink.coordination.process_lease import ProcessLease
 from lupinlink.coordination.rate_limit import CallRateLimiter, CallTiming
 from lupinlink.coordination.transport import ReadResult
@@ -45,7 +45,7 @@
         self.assertTrue(lease.holds())
         transport.cut, name = True, lease.name
         while lease.holds():
-            self.assertIn(name, service.store.grants)
+            self.assertIn(name, service.store.leases)
             self.clock.run(self.clock.now() + 10.0)
         self.assertEqual([type(error) for error in self.lost], [LeaseLostError])
 
@@ -103,7 +103,7 @@
         assert process_lease.lease is not None
         self.assertEqual((new.registered, self.holder()), (True, process_lease.lease.name))
         record = self.service.store.records[PREFIX + "n1"]
-        self.assertEqual((read_member(record.value), read_member(b"{")), (MEMBER, None))
+        self.assertEqual((decode_member(record.value), decode_member(b"{")), (MEMBER, None))
         new.stop()
         self.run_for(10.0)
         self.assertIsNone(self.holder())
