--- a/lupinlink/coordination/commit_validation.py
+++ b/lupinlink/coordination/commit_validation.py
@@ -1,4 +1,4 @@
-"""Validates commits before they are sent, so that both transports reject the same ones. Performs no I/O."""
+"""Validates commits, so that both implementations of the service reject the same ones. Performs no I/O."""
 
 from __future__ import annotations
 
