--- a/lupinlink/commands/serve.py
+++ b/lupinlink/commands/serve.py
@@ -6,14 +6,14 @@
 
 Options:
   --config=FILE  The configuration; else LB_CONFIG names it.
-  --fleet=FILE   What it agrees on with the fleet; else LB_FLEET names it; without one it serves alone.
+  --fleet=FILE   The fleet file; else LB_FLEET names it; without one the proxy serves on its own.
   -h --help      Show this text.
 
-LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT go before what the configuration says.
-LB_LOG is debug, info (by default) or warning; debug has a line for each attempt.
+LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override the configuration.
+LB_LOG is debug, info (by default) or warning; debug logs a line for each attempt.
 
-Signals: SIGTERM and SIGINT stop it, SIGHUP reads the configuration anew, SIGUSR1 logs the counters.
-Exit: 0 stopped; 1 it could not serve; 2 the configuration or the fleet file is bad.
+Signals: SIGTERM and SIGINT stop it, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
+Exit: 0 stopped; 1 it could not serve; 2 the configuration or the fleet file is invalid.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 from docopt import docopt
 
-from lupinlink.commands.told import told_off
+from lupinlink.commands.input_errors import report_input_error
 from lupinlink.settings import Config, load_config
 
 if TYPE_CHECKING:
@@ -43,16 +43,16 @@
         load = partial(load_config, os.environ, args["--config"], reload=True)
         if not file:
             return serve(config, load)
-        found = fleet_side(file, config)
-        return serve(config, load, found) if found is not None else 2
+        extension = load_fleet_extension(file, config)
+        return serve(config, load, extension) if extension is not None else 2
     except ValueError as exc:
-        return told_off(exc)
+        return report_input_error(exc)
 
 
-def fleet_side(file: str, config: Config) -> FleetExtension | None:
-    """What a fleet file adds; None after one line on standard error, if it cannot be used.
+def load_fleet_extension(file: str, config: Config) -> FleetExtension | None:
+    """Load the fleet extension; None, after one line on standard error, if the fleet file is unusable.
 
-    Imported only here: a plain serve must load nothing of it.
+    Its modules are imported only here, since serving without a fleet file must not load them.
     """
     from twisted.internet import reactor
 
--- a/lupinlink/net/fleet_extension.py
+++ b/lupinlink/net/fleet_extension.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 if TYPE_CHECKING:
-    from lupinlink.coordination.part import DoorCalls
+    from lupinlink.coordination.component import AdminRoutes
     from lupinlink.net.lifecycle import LifecycleState
     from lupinlink.net.request_types import ClientRequest
     from lupinlink.net.timer_wheel import ReactorClock
@@ -128,7 +128,7 @@
     def utilization(self) -> Mapping[str, float]:
         """Utilization (1.0: all cores busy) by name, as application servers last reported it to this process.
 
-        A report counts for 10 s, since each of many proxies sees few of a server's reports.
+        A report counts for 10 s. With many proxies, each one sees few of a server's reports.
         """
         ...
 
@@ -162,7 +162,7 @@
         """
         ...
 
-    def calls(self) -> DoorCalls:
+    def admin_routes(self) -> AdminRoutes:
         """Further calls of the management API; called once, before ``started``."""
         ...
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: what each command loads, and what it says when it is asked wrongly."""
+"""The command line: which modules a command loads, and its errors for invalid arguments."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 others = {"numpy", "msgspec", "matplotlib", "hdrh", "treq", "lark", "aiohttp"}
 print(*sorted(others & {n.split(".")[0] for n in sys.modules}))
 """
-PLAIN = (
+MODULES_WITHOUT_FLEET = (
     "brain brain.admission brain.balancer brain.concurrency brain.discovery_answers brain.discovery_node "
     "brain.discovery_outage brain.discovery_schedule brain.discovery_times brain.dispatching brain.health "
     "brain.load_monitoring brain.ready_capacity brain.retry_rules brain.server_selection brain.server_subset "
-    "brain.waiting cli clock commands commands.serve commands.told errors interface limits "
+    "brain.waiting cli clock commands commands.input_errors commands.serve errors interface limits "
     "limits.body_progress limits.capacity_bound limits.idle_reuse list_trust lupinlink net "
     "net.application_servers net.application_servers.attempts net.application_servers.connection "
     "net.application_servers.dialling net.application_servers.idle_connections "
@@ -51,16 +51,16 @@
             [sys.executable, "-m", "lupinlink", *words], cwd=ROOT, capture_output=True, text=True, timeout=60
         )
 
-    def test_a_plain_serve_loads_this_and_no_more(self) -> None:
+    def test_serving_without_a_fleet_file_loads_these_modules_only(self) -> None:
         done = subprocess.run(
             [sys.executable, "-c", LOADED], cwd=ROOT, capture_output=True, text=True, timeout=60
         )
         self.assertEqual(done.returncode, 0, done.stderr)
         ours, others = done.stdout.split("\n")[:2]
-        self.assertEqual(ours, PLAIN)
+        self.assertEqual(ours, MODULES_WITHOUT_FLEET)
         self.assertEqual(others, "")
 
-    def test_what_is_asked_wrongly_ends_with_two_and_says_why(self) -> None:
+    def test_invalid_arguments_exit_with_an_error_and_a_reason(self) -> None:
         for words, why in (
             (["serv"], "'serv' is no command"),
             (["lab", "run", "nosuch"], "no such scenario"),
--- a/tests/test_written_at_once.py
+++ b/tests/test_written_at_once.py
@@ -36,15 +36,15 @@
     def test_a_request_on_a_new_connection_is_out_as_it_comes_up(self) -> None:
         servers: list[bytes] = []
 
-        made = Dial.made
+        connected = Dial.connected
 
         def up(dial: Dial, connection: Any) -> None:
-            made(dial, connection)
+            connected(dial, connection)
             accepted, _ = self.loop.listener.accept()
             self.addCleanup(accepted.close)
             servers.append(self.received_by(accepted))
 
-        with patch.object(Dial, "made", up):
+        with patch.object(Dial, "connected", up):
             self.loop.attempt(b"body")
             self.loop.iterate_until(lambda: servers)
         self.assertTrue(servers[0].endswith(b"body"))
@@ -122,11 +122,11 @@
             server, ends = self.crossed(lambda server, late=late: server.sendall(late))  # type: ignore[misc]
             self.assertEqual((ends[0].status, self.end_of(server)), (Status.NOT_SENT, b""))
 
-    def test_being_turned_away_unseen_is_told_as_such(self) -> None:
+    def test_a_refusal_before_the_request_is_reported_as_one(self) -> None:
         server, ends = self.crossed(lambda server: server.sendall(NEVER_RAN))
         self.assertEqual((ends[0].status, self.end_of(server)), (Status.OVERLOADED, b""))
 
-    def test_what_is_only_announced_changes_nothing(self) -> None:
+    def test_informational_answers_change_nothing(self) -> None:
         server, connection = self.loop.idle_connection()
         server.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.loop.wait_for_data(connection)
