--- a/lupinlink/quota/loading.py
+++ b/lupinlink/quota/loading.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from lupinlink.coordination.contract import MOST_VALUE
+from lupinlink.coordination.contract import MAX_VALUE_BYTES
 from lupinlink.quota.cases import failed_cases
 from lupinlink.quota.checks import check_policy
 from lupinlink.quota.errors import BadPolicyError, PolicyError, PolicyFileError, PolicySyntaxError
@@ -15,8 +15,8 @@
 
 def check_text(text: str, known: KnownNames) -> tuple[Policy | None, list[PolicyError]]:
     """The policy, or None if there are findings, and all findings in the order of the text."""
-    if len(text.encode()) > MOST_VALUE:
-        return None, [PolicyFileError(f"a policy has at most {MOST_VALUE} bytes", NOWHERE)]
+    if len(text.encode()) > MAX_VALUE_BYTES:
+        return None, [PolicyFileError(f"a policy has at most {MAX_VALUE_BYTES} bytes", NOWHERE)]
     try:
         policy, findings = read_policy(text)
     except PolicySyntaxError as exc:
