--- a/lupinlink/quota/language/match_statements.py
+++ b/lupinlink/quota/language/match_statements.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ValueCount:
+class ByStatement:
     """The ``by`` statement of a quota."""
 
     by: str = ""
@@ -91,10 +91,10 @@
     return found
 
 
-def read_by(nodes: list[Node], parent: ValueCount, findings: list[PolicyError]) -> ValueCount:
-    """Read the ``by`` statement of a quota; ``outer``: that of its parent, with which it nests."""
+def read_by(nodes: list[Node], parent: ByStatement, findings: list[PolicyError]) -> ByStatement:
+    """Read the ``by`` statement of a quota; ``parent``: that of the parent quota, with which it nests."""
     if not nodes:
-        return ValueCount(most=parent.most)
+        return ByStatement(most=parent.most)
     for repeated in nodes[1:]:
         findings.append(StatementError("'by' is stated twice; nest a quota instead", place_of(repeated)))
     node = nodes[0]
@@ -123,4 +123,4 @@
         most = 1
     else:
         most = NAMED_VALUES
-    return ValueCount(field, bits, bits6, most)
+    return ByStatement(field, bits, bits6, most)
--- a/lupinlink/quota/language/parsing.py
+++ b/lupinlink/quota/language/parsing.py
@@ -51,23 +51,23 @@
     try:
         return _parser().parse(text)
     except UnexpectedInput as exc:
-        raise _fault(text, exc) from exc
+        raise _syntax_error(text, exc) from exc
 
 
-def _fault(text: str, exc: UnexpectedInput) -> PolicySyntaxError:
+def _syntax_error(text: str, exc: UnexpectedInput) -> PolicySyntaxError:
     at_end = isinstance(exc, UnexpectedEOF) or (isinstance(exc, UnexpectedToken) and exc.token.type == "$END")
     if at_end:
         lines = text.split("\n")
-        place, met = Place(len(lines), len(lines[-1]) + 1), "unexpected end of the file"
+        place, found = Place(len(lines), len(lines[-1]) + 1), "unexpected end of the file"
     else:
         place = Place(exc.line, exc.column)
         rest = text.split("\n")[exc.line - 1][exc.column - 1 :]
-        met = f"unexpected {(rest.split() or [rest])[0][:MAX_SHOWN]!r}"
-    words = ", ".join(sorted(_name(terminal) for terminal in _wanted(text)))
-    return PolicySyntaxError(f"{met}; expected one of: {words}", place)
+        found = f"unexpected {(rest.split() or [rest])[0][:MAX_SHOWN]!r}"
+    expected = ", ".join(sorted(_name(terminal) for terminal in _accepted(text)))
+    return PolicySyntaxError(f"{found}; expected one of: {expected}", place)
 
 
-def _wanted(text: str) -> set[str]:
+def _accepted(text: str) -> set[str]:
     """The terminals accepted at the first error; lark's own list has some that are not accepted there."""
     parsing = _parser().parse_interactive(text)
     with suppress(UnexpectedInput):
--- a/lupinlink/quota/language/quota_blocks.py
+++ b/lupinlink/quota/language/quota_blocks.py
@@ -8,7 +8,7 @@
 
 from lupinlink.quota.errors import PolicyError, StatementError, UnknownNameError
 from lupinlink.quota.language import rate_statements
-from lupinlink.quota.language.match_statements import ValueCount, read_by, read_match
+from lupinlink.quota.language.match_statements import ByStatement, read_by, read_match
 from lupinlink.quota.language.parsing import Node, place_of
 from lupinlink.quota.model import Limit, Place, RateParameters
 
@@ -27,7 +27,7 @@
 
 
 def read_quota(
-    node: Node, parent: Limit | None, parent_count: ValueCount, depth: int, reading: Reading
+    node: Node, parent: Limit | None, parent_by: ByStatement, depth: int, reading: Reading
 ) -> None:
     """Add a limit and its descendants; errors become findings, and reading continues."""
     name = str(node.children[0])
@@ -46,21 +46,21 @@
     for kind in ("worth", "borrows", "retry", "shadow"):
         for repeated in by_kind.get(kind, [])[1:]:
             findings.append(StatementError("this statement is stated twice", place_of(repeated)))
-    by = read_by(by_kind.get("by", []), parent_count, findings)
+    by = read_by(by_kind.get("by", []), parent_by, findings)
     limit = _limit(path, by_kind, parent, by, place, reading)
     if limit is None:
         return
     reading.limits[path] = limit
-    child_count = ValueCount(most=by.most)
+    child_by = ByStatement(most=by.most)
     for child in by_kind.get("quota", []):
-        read_quota(child, limit, child_count, depth + 1, reading)
+        read_quota(child, limit, child_by, depth + 1, reading)
 
 
 def _limit(
     path: str,
     by_kind: dict[str, list[Node]],
     parent: Limit | None,
-    by: ValueCount,
+    by: ByStatement,
     place: Place,
     reading: Reading,
 ) -> Limit | None:
--- a/lupinlink/quota/language/reading.py
+++ b/lupinlink/quota/language/reading.py
@@ -11,7 +11,7 @@
 from lark import Token
 
 from lupinlink.quota.errors import PolicyError, StatementError
-from lupinlink.quota.language.match_statements import ValueCount, integer, text_of
+from lupinlink.quota.language.match_statements import ByStatement, integer, text_of
 from lupinlink.quota.language.parsing import Node, parse, place_of
 from lupinlink.quota.language.quota_blocks import Reading, read_quota
 from lupinlink.quota.model import ExpectedCase, Policy, QuotaRequest, Schedule
@@ -43,7 +43,7 @@
         schedules[schedule.name] = schedule
     reading = Reading(frozenset(schedules), findings=findings)
     for node in by_kind.get("quota", []):
-        read_quota(node, None, ValueCount(), 1, reading)
+        read_quota(node, None, ByStatement(), 1, reading)
     expected_cases = tuple(_expect(node, findings) for node in by_kind.get("expect", []))
     return Policy(
         version, tuple(reading.limits.values()), tuple(schedules.values()), expected_cases
--- a/lupinlink/quota/limit_lookup.py
+++ b/lupinlink/quota/limit_lookup.py
@@ -58,9 +58,8 @@
                 shift = network.max_prefixlen - network.prefixlen
                 found = (network.version, shift, int(network.network_address) >> shift)
                 self._by_range.setdefault(found, []).append(i)
-        self._match_is_certain = [
-            not step.prefixes or step.ranges is None for step in steps
-        ]  # a table entry alone proves the match
+        # Whether a table entry alone proves that a child matches.
+        self._match_is_certain = [not step.prefixes or step.ranges is None for step in steps]
         self._lengths = sorted({len(prefix) for prefix in self._by_prefix})
         self._shifts = sorted({(version, shift) for version, shift, _ in self._by_range})
 
--- a/lupinlink/quota/reachability.py
+++ b/lupinlink/quota/reachability.py
@@ -52,22 +52,22 @@
 
 def narrow(region: Region, match: Match) -> Region | None:
     """The part of a region that matches, or None if it is empty."""
-    said = (match.classes, match.tenants, match.zones)
+    conditions = (match.classes, match.tenants, match.zones)
     names = [
-        _intersection(had, frozenset(new) if new else None)
-        for had, new in zip(region.names, said, strict=True)
+        _intersection(current, frozenset(new) if new else None)
+        for current, new in zip(region.names, conditions, strict=True)
     ]
     second_try = region.second_try if match.second_try is None else match.second_try
     if any(one is not None and not one for one in names) or region.second_try not in (None, second_try):
         return None
     prefixes, networks = region.prefixes, region.networks
     if match.key_prefixes:
-        had = ("",) if prefixes is None else prefixes
-        pairs = [(a, b) for a in had for b in match.key_prefixes]
+        current = ("",) if prefixes is None else prefixes
+        pairs = [(a, b) for a in current for b in match.key_prefixes]
         prefixes = tuple({max(a, b, key=len): 0 for a, b in pairs if a.startswith(b) or b.startswith(a)})
     if match.networks:
         ranges = [(a, b) for a in networks or match.networks for b in match.networks]
-        networks = tuple({small: 0 for a, b in ranges if (small := _overlap(a, b)) is not None})
+        networks = tuple({overlap: 0 for a, b in ranges if (overlap := _overlap(a, b)) is not None})
     if prefixes == () or networks == ():
         return None
     return Region((names[0], names[1], names[2]), second_try, prefixes, networks)
@@ -104,10 +104,10 @@
     tries = (True, False) if region.second_try is None else (region.second_try,)
     prefixes: list[tuple[str, ...] | None] = [(one,) for one in region.prefixes or ()] or [None]
     networks: list[tuple[Network, ...] | None] = [(one,) for one in region.networks or ()] or [None]
-    kinds = product(product(*fields), tries, prefixes, networks)
-    for number, ((cls, tenant, zone), second, prefix, network) in enumerate(kinds):
-        kind = Region((_single(cls), _single(tenant), _single(zone)), second, prefix, network)
-        if number >= MAX_COMBINATIONS or not any(_contains(one, kind) for one in earlier):
+    combinations = product(product(*fields), tries, prefixes, networks)
+    for tried, ((cls, tenant, zone), second, prefix, network) in enumerate(combinations):
+        combination = Region((_single(cls), _single(tenant), _single(zone)), second, prefix, network)
+        if tried >= MAX_COMBINATIONS or not any(_contains(one, combination) for one in earlier):
             return False
     return True
 
@@ -118,8 +118,8 @@
 
 def _contains(wide: Region, region: Region) -> bool:
     """Whether ``wide`` contains all of ``region``."""
-    for had, new in zip(wide.names, region.names, strict=True):
-        if had is not None and (new is None or not new <= had):
+    for current, new in zip(wide.names, region.names, strict=True):
+        if current is not None and (new is None or not new <= current):
             return False
     if wide.second_try is not None and wide.second_try != region.second_try:
         return False
